--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,7 +7,6 @@
 //! Names of the platform stand only in [`crate::platform`].
 
 pub mod admission;
-pub mod answer;
 pub mod belief;
 pub mod body;
 pub mod configuration;
@@ -24,13 +23,14 @@
 pub mod reactor;
 pub mod registration;
 pub mod request;
+pub mod response;
 pub mod retry_budget;
-mod serve_answer;
-mod serve_caller;
-mod serve_ending;
-mod serve_endpoint;
-mod serve_exchange;
-mod serve_sending;
+mod serve_client;
+mod serve_completion;
+mod serve_dispatch;
+mod serve_placement;
+mod serve_response;
+mod serve_upstream;
 pub mod settings;
 pub mod sharing;
 pub mod start;
--- a/src/gateway/serve_caller.rs
+++ b/src/gateway/serve_client.rs
@@ -3,11 +3,6 @@
 use mio::event::Event;
 
 use super::{
-    answer::{
-        FORWARD_HEADER,
-        OwnAnswer,
-        write_own, //
-    },
     body::BodyDecoder,
     configuration::CallerLimits,
     connection::{
@@ -30,6 +25,11 @@
         tell_news, //
     },
     reactor::Reactor, //
+    response::{
+        FORWARD_HEADER,
+        OwnAnswer,
+        write_own, //
+    },
 };
 use crate::platform::headers::{
     DIRECTORY_PATH,
--- a/src/gateway/serve_ending.rs
+++ b/src/gateway/serve_completion.rs
@@ -5,17 +5,17 @@
 //! holds the unsent request tells a caller that it has not run.
 
 use super::{
-    answer::{
-        OwnAnswer,
-        write_own, //
-    },
     endpoint::Failure,
     exchange::{
         Destination,
         Exchange, //
     },
     reactor::Reactor,
-    serve_endpoint::Breakage, //
+    response::{
+        OwnAnswer,
+        write_own, //
+    },
+    serve_upstream::Breakage, //
 };
 
 /// Endpoints tried for one request that none of them has run. Those that are
--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -9,10 +9,6 @@
 
 use super::{
     admission::AwayOffer,
-    answer::{
-        FORWARD_HEADER,
-        write_request_start, //
-    },
     connection::{
         Answering,
         UpstreamPhase, //
@@ -25,8 +21,12 @@
     fleet::Choice,
     head::Framing,
     reactor::Reactor,
-    serve_ending::UNREACHABLE_RETRY_MS, //
-    serve_endpoint::Breakage,
+    response::{
+        FORWARD_HEADER,
+        write_request_start, //
+    },
+    serve_completion::UNREACHABLE_RETRY_MS, //
+    serve_upstream::Breakage,
 };
 use crate::platform::headers::{
     EndpointHeaders,
--- a/src/gateway/serve_answer.rs
+++ b/src/gateway/serve_response.rs
@@ -4,12 +4,6 @@
 //! is held until it is complete, so that a broken one can still be replaced.
 
 use super::{
-    answer::{
-        BodyFrame,
-        NOT_RUN_HEADER,
-        OwnAnswer,
-        write_head, //
-    },
     body::{
         write_chunk,
         write_last_chunk, //
@@ -22,7 +16,13 @@
     },
     head::ResponseHead,
     reactor::Reactor,
-    serve_ending::{
+    response::{
+        BodyFrame,
+        NOT_RUN_HEADER,
+        OwnAnswer,
+        write_head, //
+    },
+    serve_completion::{
         MAX_EXCLUDED,
         UNREACHABLE_RETRY_MS, //
     }, //
--- a/src/gateway/serve_endpoint.rs
+++ b/src/gateway/serve_upstream.rs
@@ -14,7 +14,7 @@
         parse_response, //
     },
     reactor::Reactor,
-    serve_caller::MAX_OUTPUT_BYTES, //
+    serve_client::MAX_OUTPUT_BYTES, //
 };
 use crate::platform::headers::{
     Verdict,
