--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -10,7 +10,7 @@
 /// The chunked coding is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the chunked coding is malformed")]
-pub struct BadChunk;
+pub struct ChunkError;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChunkState {
@@ -55,7 +55,7 @@
     /// Appends the content in `input` to `out` and returns the bytes consumed.
     ///
     /// Fewer than all bytes are consumed only if the body ends within `input`.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BadChunk> {
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         match self {
             Self::Length(left) => {
                 let take = usize::try_from(*left)
@@ -84,7 +84,7 @@
 }
 
 impl ChunkDecoder {
-    fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BadChunk> {
+    fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         let mut at = 0;
         while at < input.len() && self.state != ChunkState::Done {
             if let ChunkState::Data(left) = self.state {
@@ -103,19 +103,19 @@
             if byte != b'\n' {
                 self.line.push(byte);
                 if self.line.len() > MAX_LINE_BYTES {
-                    return Err(BadChunk);
+                    return Err(ChunkError);
                 }
                 continue;
             }
             if self.line.pop() != Some(b'\r') || self.line.contains(&b'\r') {
-                return Err(BadChunk);
+                return Err(ChunkError);
             }
             self.finish_line()?;
         }
         Ok(at)
     }
 
-    fn finish_line(&mut self) -> Result<(), BadChunk> {
+    fn finish_line(&mut self) -> Result<(), ChunkError> {
         let line = std::mem::take(&mut self.line);
         self.state = match self.state {
             ChunkState::Size => match chunk_size(&line)? {
@@ -125,20 +125,20 @@
             ChunkState::DataEnd if line.is_empty() => ChunkState::Size,
             ChunkState::Trailer if line.is_empty() => ChunkState::Done,
             ChunkState::Trailer => ChunkState::Trailer,
-            _ => return Err(BadChunk),
+            _ => return Err(ChunkError),
         };
         Ok(())
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BadChunk> {
+fn chunk_size(line: &[u8]) -> Result<u64, ChunkError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).map_err(|_| BadChunk)?;
+    let text = std::str::from_utf8(digits).map_err(|_| ChunkError)?;
     if !is_hex {
-        return Err(BadChunk);
+        return Err(ChunkError);
     }
-    u64::from_str_radix(text, 16).map_err(|_| BadChunk)
+    u64::from_str_radix(text, 16).map_err(|_| ChunkError)
 }
 
 /// Appends `content` as one chunk.
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -43,7 +43,7 @@
 
 /// What happened to the reading side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadState {
     /// More may come.
     Open,
     /// The peer has ended its side.
@@ -54,7 +54,7 @@
 
 /// A socket with its buffers.
 #[derive(Debug)]
-pub struct Wire {
+pub struct BufferedSocket {
     /// The socket.
     pub stream: TcpStream,
     /// Received bytes that have not been used.
@@ -63,26 +63,26 @@
     written: usize,
 }
 
-impl Wire {
+impl BufferedSocket {
     /// Wraps a socket and sets its options.
     pub fn new(stream: TcpStream) -> Self {
-        let wire = Self {
+        let socket = Self {
             stream,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
         };
-        if let Err(error) = wire.set_options() {
+        if let Err(error) = socket.set_options() {
             tracing::debug!(%error, "could not set options of a socket");
         }
-        wire
+        socket
     }
 
     fn set_options(&self) -> io::Result<()> {
-        let socket = SockRef::from(&self.stream);
-        socket.set_tcp_nodelay(true)?;
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-        socket.set_tcp_keepalive(
+        let options = SockRef::from(&self.stream);
+        options.set_tcp_nodelay(true)?;
+        options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+        options.set_tcp_keepalive(
             &TcpKeepalive::new()
                 .with_time(KEEPALIVE_IDLE)
                 .with_interval(KEEPALIVE_IDLE)
@@ -91,7 +91,7 @@
     }
 
     /// Reads what has arrived into the input.
-    pub fn fill(&mut self) -> ReadEnd {
+    pub fn fill(&mut self) -> ReadState {
         let mut turn = 0;
         loop {
             let start = self.input.len();
@@ -100,14 +100,14 @@
             let count = *result.as_ref().unwrap_or(&0);
             self.input.truncate(start + count);
             match result {
-                Ok(0) => return ReadEnd::Closed,
+                Ok(0) => return ReadState::Closed,
                 Ok(_) => turn += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadEnd::Open,
-                Err(_) => return ReadEnd::Broken,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadState::Open,
+                Err(_) => return ReadState::Broken,
             }
             if turn > READ_TURN_BYTES {
-                return ReadEnd::Open;
+                return ReadState::Open;
             }
         }
     }
@@ -174,7 +174,7 @@
 
 /// How far a request has been read.
 #[derive(Debug)]
-pub enum Reading {
+pub enum RequestProgress {
     /// The head is incomplete.
     Head,
     /// The body is incomplete.
@@ -192,19 +192,19 @@
 #[derive(Debug)]
 pub struct Client {
     /// Socket and buffers.
-    pub wire: Wire,
+    pub socket: BufferedSocket,
     /// What it is for.
     pub role: Role,
     /// How far the next request has been read.
-    pub reading: Reading,
+    pub request_progress: RequestProgress,
     /// Request in progress.
     pub exchange: Option<usize>,
     /// The peer has ended its side.
     pub is_read_closed: bool,
     /// The connection ends when the output is written.
-    pub closes: bool,
+    pub is_closing: bool,
     /// Last time at which a request ended or a byte arrived.
-    pub active_ms: u64,
+    pub last_active_ms: u64,
     /// Time of the first byte of the request that is being read.
     pub request_started_ms: Option<u64>,
 }
@@ -213,13 +213,13 @@
     /// A connection without a request.
     pub fn new(stream: TcpStream, role: Role, now_ms: u64) -> Self {
         Self {
-            wire: Wire::new(stream),
+            socket: BufferedSocket::new(stream),
             role,
-            reading: Reading::Head,
+            request_progress: RequestProgress::Head,
             exchange: None,
             is_read_closed: false,
-            closes: false,
-            active_ms: now_ms,
+            is_closing: false,
+            last_active_ms: now_ms,
             request_started_ms: None,
         }
     }
@@ -238,7 +238,7 @@
 
 /// How far an answer has been read.
 #[derive(Debug)]
-pub enum Answering {
+pub enum ResponseProgress {
     /// The head is incomplete.
     Head,
     /// The body is incomplete.
@@ -248,7 +248,7 @@
         /// Decoder of the body.
         decoder: BodyDecoder,
         /// The answer belongs to an earlier request and is dropped.
-        is_foreign: bool,
+        is_stale: bool,
     },
 }
 
@@ -256,7 +256,7 @@
 #[derive(Debug)]
 pub struct Upstream {
     /// Socket and buffers.
-    pub wire: Wire,
+    pub socket: BufferedSocket,
     /// Other end.
     pub address: SocketAddr,
     /// What it is doing.
@@ -264,7 +264,7 @@
     /// Request in progress; none if its caller has left and the answer is dropped.
     pub exchange: Option<usize>,
     /// How far the answer has been read.
-    pub answering: Answering,
+    pub response_progress: ResponseProgress,
     /// The request asks for the head only.
     pub is_head_request: bool,
     /// When the connection was opened, or became idle.
@@ -272,31 +272,31 @@
     /// Requests sent on it.
     pub request_count: u32,
     /// When an idle connection is no longer used.
-    pub idle_limit_ms: u64,
+    pub idle_deadline_ms: u64,
     /// The other end is a host of another region.
     pub is_peer: bool,
     /// The answer is not read on until the caller has read what is written.
     pub is_paused: bool,
     /// An answer to an earlier request arrived, so the connection is not reused.
-    pub is_tainted: bool,
+    pub had_stale_response: bool,
 }
 
 impl Upstream {
     /// A connection that is being made.
     pub fn new(stream: TcpStream, address: SocketAddr, now_ms: u64) -> Self {
         Self {
-            wire: Wire::new(stream),
+            socket: BufferedSocket::new(stream),
             address,
             phase: UpstreamPhase::Connecting,
             exchange: None,
-            answering: Answering::Head,
+            response_progress: ResponseProgress::Head,
             is_head_request: false,
             since_ms: now_ms,
             request_count: 0,
-            idle_limit_ms: 0,
+            idle_deadline_ms: 0,
             is_peer: false,
             is_paused: false,
-            is_tainted: false,
+            had_stale_response: false,
         }
     }
 }
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -11,7 +11,7 @@
 pub struct EventSplitter {
     partial: Vec<u8>,
     last_id: Option<CompactString>,
-    whole_count: u64,
+    complete_count: u64,
 }
 
 impl EventSplitter {
@@ -28,7 +28,7 @@
             let end = start + found + 2;
             let id = event_id(&self.partial[start..end]);
             self.last_id = id.or(self.last_id.take());
-            self.whole_count += 1;
+            self.complete_count += 1;
             start = end;
         }
         out.extend(self.partial.drain(..start));
@@ -50,8 +50,8 @@
     }
 
     /// Number of whole events.
-    pub fn whole_count(&self) -> u64 {
-        self.whole_count
+    pub fn complete_count(&self) -> u64 {
+        self.complete_count
     }
 }
 
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether the request may run more than once.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.is_idempotent || self.is_resumable
     }
 
@@ -120,7 +120,7 @@
 
 /// A request at an endpoint or in another region.
 #[derive(Debug, Clone)]
-pub struct Sending {
+pub struct Dispatch {
     /// Where it was sent.
     pub destination: Destination,
     /// Connection.
@@ -130,14 +130,14 @@
     /// The first event or the answer has begun.
     pub has_begun: bool,
     /// The head of the answer is that of a success of the endpoint.
-    pub is_good: bool,
+    pub is_success: bool,
     /// Last time at which content arrived.
     pub progress_ms: u64,
 }
 
 /// What decided the latest placing of a request, for its log line.
 #[derive(Debug, Clone)]
-pub struct Placed {
+pub struct PlacementRecord {
     /// Name of the endpoint, or of the region and host.
     pub destination: CompactString,
     /// Predicted time from then to the first event.
@@ -152,7 +152,7 @@
 
 /// What decided the refusal of a request, for its log line.
 #[derive(Debug, Clone, Copy)]
-pub struct Refused {
+pub struct RefusalRecord {
     /// Predicted time to the first event in this region, its queue included;
     /// none if no endpoint could be used.
     pub here_ms: Option<u64>,
@@ -196,19 +196,19 @@
     /// The request waits for an endpoint.
     pub is_waiting: bool,
     /// Where the request is.
-    pub sending: Option<Sending>,
+    pub dispatch: Option<Dispatch>,
     /// How the latest placing was decided.
-    pub placed: Option<Placed>,
+    pub placement: Option<PlacementRecord>,
     /// What decided a refusal.
-    pub refused: Option<Refused>,
+    pub refusal: Option<RefusalRecord>,
     /// When the first event, or the answer, had arrived.
     pub first_event_at_ms: Option<u64>,
     /// The head and perhaps some content of the answer reached the caller.
-    pub has_reply_begun: bool,
+    pub has_response_begun: bool,
     /// Events passed on, for streams that another endpoint may continue.
     pub events: EventSplitter,
     /// Answer or part of it that has not been passed on.
-    pub held: Vec<u8>,
+    pub buffered: Vec<u8>,
 }
 
 impl Exchange {
@@ -220,6 +220,6 @@
 
     /// Where the request is.
     pub fn destination(&self) -> Option<&Destination> {
-        self.sending.as_ref().map(|sending| &sending.destination)
+        self.dispatch.as_ref().map(|dispatch| &dispatch.destination)
     }
 }
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -77,7 +77,7 @@
                     revision = Some(next);
                     thread::sleep(watch_pause(host_count.load(Ordering::Relaxed)));
                 }
-                Err(StoreError::HistoryGone) => {
+                Err(StoreError::HistoryDropped) => {
                     tracing::info!(
                         revision = ?revision,
                         "store dropped its history; reading all items again"
--- a/src/gateway/head.rs
+++ b/src/gateway/head.rs
@@ -14,7 +14,7 @@
 /// Most header fields in one head.
 const MAX_HEADERS: usize = 96;
 /// Longest head of an answer; endpoints send a few hundred bytes.
-pub const MAX_ANSWER_HEAD_BYTES: usize = 16 * 1024;
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
 
 /// A header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     TooLong,
     /// A transfer coding other than chunked.
     #[error("the transfer coding is not supported")]
-    Coding,
+    UnsupportedCoding,
 }
 
 /// Head of a request.
@@ -90,7 +90,7 @@
     /// How the body ends.
     pub framing: Framing,
     /// The sender keeps the connection open.
-    pub keeps_open: bool,
+    pub is_keep_alive: bool,
     /// The sender waits for permission to send the body.
     pub expects_continue: bool,
 }
@@ -107,7 +107,7 @@
     /// How the body ends.
     pub framing: Framing,
     /// The sender keeps the connection open.
-    pub keeps_open: bool,
+    pub is_keep_alive: bool,
 }
 
 impl RequestHead {
@@ -160,7 +160,7 @@
         method: parsed.method.unwrap_or_default().into(),
         target: parsed.path.unwrap_or_default().into(),
         framing: body_framing(&headers)?.unwrap_or(Framing::Length(0)),
-        keeps_open: keeps_open(&headers, version),
+        is_keep_alive: is_keep_alive(&headers, version),
         expects_continue: find(&headers, "expect")
             .is_some_and(|value| value.eq_ignore_ascii_case("100-continue")),
         headers,
@@ -179,7 +179,7 @@
     bytes: &[u8],
     is_head_request: bool,
 ) -> Result<Option<(ResponseHead, usize)>, HeadError> {
-    let Some(length) = head_length(bytes, MAX_ANSWER_HEAD_BYTES)? else {
+    let Some(length) = head_length(bytes, MAX_RESPONSE_HEAD_BYTES)? else {
         return Ok(None);
     };
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -202,7 +202,7 @@
             } else {
                 declared
             },
-            keeps_open: keeps_open(&headers, version),
+            is_keep_alive: is_keep_alive(&headers, version),
             headers,
         },
         length,
@@ -248,7 +248,7 @@
         } else if header.is("transfer-encoding") {
             let value = header.text().ok_or(HeadError::Malformed)?;
             if is_chunked || !value.eq_ignore_ascii_case("chunked") {
-                return Err(HeadError::Coding);
+                return Err(HeadError::UnsupportedCoding);
             }
             is_chunked = true;
         }
@@ -261,7 +261,7 @@
     }
 }
 
-fn keeps_open(headers: &[Header], version: u8) -> bool {
+fn is_keep_alive(headers: &[Header], version: u8) -> bool {
     let says = |token: &str| {
         headers
             .iter()
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -91,7 +91,7 @@
             }
             Update::Store(is_reachable) => {
                 self.hosts.set_store_reachable(is_reachable);
-                self.store_back_ms = is_reachable.then_some(now_ms);
+                self.store_recovered_ms = is_reachable.then_some(now_ms);
             }
             Update::Synchronised => self.is_synchronised = true,
             Update::Stop => self.leave(now_ms),
@@ -105,7 +105,7 @@
     /// live, and are back shortly after it.
     fn withdrawal_delay_ms(&self, now_ms: u64) -> u64 {
         let is_settled = self
-            .store_back_ms
+            .store_recovered_ms
             .is_some_and(|back_ms| now_ms >= back_ms + ANNOUNCEMENT_RETURN_MS);
         if is_settled {
             0
@@ -143,7 +143,7 @@
     }
 
     fn leave(&mut self, now_ms: u64) {
-        if self.leave_started_ms.is_some() {
+        if self.shutdown_started_ms.is_some() {
             return;
         }
         tracing::info!(
@@ -151,10 +151,10 @@
             limit_ms = self.settings.shutdown_ms,
             "stopping; requests in progress are finished"
         );
-        self.leave_started_ms = Some(now_ms);
+        self.shutdown_started_ms = Some(now_ms);
         self.hosts.leave();
         self.next_beacon_ms = 0;
-        self.next_away_beacon_ms = 0;
+        self.next_remote_beacon_ms = 0;
     }
 
     /// Sends beacons that are due.
@@ -170,8 +170,8 @@
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
-        if now_ms >= self.next_away_beacon_ms {
-            self.next_away_beacon_ms = now_ms + AWAY_BEACON_INTERVAL_MS;
+        if now_ms >= self.next_remote_beacon_ms {
+            self.next_remote_beacon_ms = now_ms + AWAY_BEACON_INTERVAL_MS;
             let peers = self.one_host_of_each_region(now_ms);
             if !peers.is_empty() {
                 let beacon = self.away_beacon(now_ms);
@@ -216,10 +216,10 @@
         }
         // Other hosts may be as far behind, so only progress ends the lag.
         let (since_ms, _) = *self
-            .behind_since
+            .lag_since
             .filter(|(_, revision)| *revision == known)
             .get_or_insert((now_ms, known));
-        self.behind_since = Some((since_ms, known));
+        self.lag_since = Some((since_ms, known));
         if now_ms >= since_ms + BEHIND_MS {
             self.ask(beacon.host.peer_address, now_ms);
         }
@@ -238,13 +238,13 @@
     }
 
     fn ask(&mut self, peer: std::net::SocketAddr, now_ms: u64) {
-        if now_ms < self.next_ask_ms {
+        if now_ms < self.next_resync_ms {
             return;
         }
-        self.next_ask_ms = now_ms + ASK_INTERVAL_MS;
-        if let Some(behind) = &self.behind {
+        self.next_resync_ms = now_ms + ASK_INTERVAL_MS;
+        if let Some(requests) = &self.resync_requests {
             // A host that is still being asked is enough.
-            let _ = behind.try_send(peer);
+            let _ = requests.try_send(peer);
         }
     }
 
@@ -255,7 +255,7 @@
             started_ms: self.run_started_ms,
             sequence: self.beacon_sequence,
             revision: self.known_revision(),
-            is_leaving: self.leave_started_ms.is_some(),
+            is_leaving: self.shutdown_started_ms.is_some(),
             shares: Vec::new(),
             queues: Vec::new(),
             services: Vec::new(),
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -90,7 +90,7 @@
 const SWEEP_MS: u64 = 250;
 /// Pause between the end of the last request and the end of the process, in
 /// which callers that hold an older directory answer still reach the host.
-const MIN_LEAVE_MS: u64 = 4_200;
+const MIN_SHUTDOWN_MS: u64 = 4_200;
 /// Time after the signal to stop from which new requests are refused. The
 /// platform excuses the end of requests that arrive up to three seconds after
 /// it, and callers have asked the directory again by then.
@@ -100,7 +100,7 @@
 
 /// How the reactor ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct ReactorExit {
     /// Requests that were cut off.
     pub cut_off_count: usize,
 }
@@ -132,20 +132,20 @@
     pub(super) run_started_ms: u64,
     pub(super) beacon_sequence: u64,
     pub(super) next_beacon_ms: u64,
-    pub(super) next_away_beacon_ms: u64,
+    pub(super) next_remote_beacon_ms: u64,
     pub(super) next_serial: u64,
     pub(super) is_synchronised: bool,
-    pub(super) leave_started_ms: Option<u64>,
+    pub(super) shutdown_started_ms: Option<u64>,
     pub(super) reload: Option<Box<dyn Fn() -> Option<GatewaySettings>>>,
     /// What the host believes, to tell other hosts.
     pub(super) belief: Option<Belief>,
     /// Hosts to ask because they know more.
-    pub(super) behind: Option<Sender<SocketAddr>>,
+    pub(super) resync_requests: Option<Sender<SocketAddr>>,
     /// When the host fell behind, and the revision it knew.
-    pub(super) behind_since: Option<(u64, u64)>,
+    pub(super) lag_since: Option<(u64, u64)>,
     /// When the store was regained; none while it does not answer.
-    pub(super) store_back_ms: Option<u64>,
-    pub(super) next_ask_ms: u64,
+    pub(super) store_recovered_ms: Option<u64>,
+    pub(super) next_resync_ms: u64,
     /// Beacons arrived since the last sum over what other hosts told.
     pub(super) has_new_shares: bool,
     pub(super) next_share_update_ms: u64,
@@ -218,16 +218,16 @@
             run_started_ms,
             beacon_sequence: 0,
             next_beacon_ms: 0,
-            next_away_beacon_ms: 0,
+            next_remote_beacon_ms: 0,
             next_serial: 0,
             is_synchronised: false,
-            leave_started_ms: None,
+            shutdown_started_ms: None,
             reload: None,
             belief: None,
-            behind: None,
-            behind_since: None,
-            store_back_ms: None,
-            next_ask_ms: 0,
+            resync_requests: None,
+            lag_since: None,
+            store_recovered_ms: None,
+            next_resync_ms: 0,
             has_new_shares: false,
             next_share_update_ms: 0,
             pending_update: PendingUpdate::default(),
@@ -253,9 +253,9 @@
     }
 
     /// Sets what the host believes and where it asks others for more.
-    pub fn set_belief(&mut self, belief: Belief, behind: Sender<SocketAddr>) {
+    pub fn set_belief(&mut self, belief: Belief, resync_requests: Sender<SocketAddr>) {
         self.belief = Some(belief);
-        self.behind = Some(behind);
+        self.resync_requests = Some(resync_requests);
     }
 
     /// Steady time since the start of the reactor.
@@ -264,7 +264,7 @@
     }
 
     /// Serves until the process has to end.
-    pub fn run(&mut self) -> io::Result<Ended> {
+    pub fn run(&mut self) -> io::Result<ReactorExit> {
         let mut events = Events::with_capacity(256);
         loop {
             let timeout = if self.exchanges.is_empty() {
@@ -278,17 +278,17 @@
                 Err(error) => return Err(error),
             }
             for event in &events {
-                self.dispatch(event);
+                self.handle_event(event);
             }
-            self.take_updates();
+            self.receive_updates();
             self.tick();
-            if let Some(ended) = self.ended() {
-                return Ok(ended);
+            if let Some(exit) = self.exit_if_done() {
+                return Ok(exit);
             }
         }
     }
 
-    fn dispatch(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         match event.token() {
             WAKER => {}
             BEACONS => self.receive_beacons(),
@@ -326,7 +326,7 @@
         let now_ms = self.now_ms();
         let key = self.clients.insert(Client::new(stream, role, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2);
-        if !register(&self.poll, &mut self.clients[key].wire.stream, token) {
+        if !register(&self.poll, &mut self.clients[key].socket.stream, token) {
             self.clients.remove(key);
         }
     }
@@ -345,14 +345,14 @@
             .upstreams
             .insert(Upstream::new(stream, address, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2 + 1);
-        if !register(&self.poll, &mut self.upstreams[key].wire.stream, token) {
+        if !register(&self.poll, &mut self.upstreams[key].socket.stream, token) {
             self.upstreams.remove(key);
             return None;
         }
         Some(key)
     }
 
-    fn take_updates(&mut self) {
+    fn receive_updates(&mut self) {
         while let Ok(update) = self.updates.try_recv() {
             self.apply_update(update);
         }
@@ -380,7 +380,7 @@
             .upstreams
             .iter()
             .filter(|(_, upstream)| {
-                upstream.phase == UpstreamPhase::Idle && now_ms >= upstream.idle_limit_ms
+                upstream.phase == UpstreamPhase::Idle && now_ms >= upstream.idle_deadline_ms
             })
             .map(|(key, _)| key)
             .collect();
@@ -392,13 +392,13 @@
     }
 
     /// Whether new requests are refused because the process ends soon.
-    pub(super) fn refuses_new(&self, now_ms: u64) -> bool {
-        self.leave_started_ms
+    pub(super) fn is_refusing_new(&self, now_ms: u64) -> bool {
+        self.shutdown_started_ms
             .is_some_and(|started_ms| now_ms >= started_ms + REFUSE_AFTER_MS)
     }
 
-    fn ended(&self) -> Option<Ended> {
-        let started_ms = self.leave_started_ms?;
+    fn exit_if_done(&self) -> Option<ReactorExit> {
+        let started_ms = self.shutdown_started_ms?;
         let now_ms = self.now_ms();
         let is_forced = now_ms + END_BEFORE_KILL_MS >= started_ms + self.settings.shutdown_ms;
         let is_idle = self.exchanges.is_empty()
@@ -406,8 +406,8 @@
                 .upstreams
                 .iter()
                 .all(|(_, upstream)| upstream.phase != UpstreamPhase::Busy);
-        let is_done = is_idle && now_ms >= started_ms + MIN_LEAVE_MS;
-        (is_forced || is_done).then(|| Ended {
+        let is_done = is_idle && now_ms >= started_ms + MIN_SHUTDOWN_MS;
+        (is_forced || is_done).then(|| ReactorExit {
             cut_off_count: self.exchanges.len(),
         })
     }
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -16,7 +16,7 @@
 
 /// An answer of the gateway itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnAnswer {
+pub struct GatewayResponse {
     /// Status.
     pub status: u16,
     /// When the caller may come back.
@@ -25,7 +25,7 @@
     pub is_not_run: bool,
 }
 
-impl OwnAnswer {
+impl GatewayResponse {
     /// Refuses a request that was not sent, until a time.
     pub fn refusal(retry_after_ms: u64) -> Self {
         Self {
@@ -36,7 +36,7 @@
     }
 
     /// An answer that promises nothing.
-    pub fn plain(status: u16) -> Self {
+    pub fn new(status: u16) -> Self {
         Self {
             status,
             retry_after_ms: None,
@@ -46,11 +46,11 @@
 }
 
 /// Writes an answer of the gateway with a body.
-pub fn write_own(
-    answer: OwnAnswer,
+pub fn write_gateway_response(
+    answer: GatewayResponse,
     content_type: &str,
     body: &[u8],
-    closes: bool,
+    is_closing: bool,
     out: &mut Vec<u8>,
 ) {
     let mut head = format!(
@@ -68,7 +68,7 @@
     if answer.is_not_run {
         head.push_str(&format!("{NOT_RUN_HEADER}: 1\r\n"));
     }
-    if closes {
+    if is_closing {
         head.push_str("Connection: close\r\n");
     }
     head.push_str("\r\n");
@@ -86,7 +86,12 @@
 }
 
 /// Writes the head of an endpoint's answer.
-pub fn write_head(head: &ResponseHead, frame: BodyFrame, closes: bool, out: &mut Vec<u8>) {
+pub fn write_response_head(
+    head: &ResponseHead,
+    frame: BodyFrame,
+    is_closing: bool,
+    out: &mut Vec<u8>,
+) {
     out.extend_from_slice(format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).as_bytes());
     write_end_to_end(&head.headers, |_| true, out);
     match frame {
@@ -95,7 +100,7 @@
         }
         BodyFrame::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
     }
-    if closes {
+    if is_closing {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     out.extend_from_slice(b"\r\n");
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_client.rs
@@ -1,4 +1,4 @@
-//! Connections from callers and other hosts: reading requests, writing answers.
+//! Connections from callers and other hosts: reading requests and writing responses.
 
 use mio::event::Event;
 
@@ -7,8 +7,8 @@
     configuration::CallerLimits,
     connection::{
         Client,
-        ReadEnd,
-        Reading,
+        ReadState,
+        RequestProgress,
         Role, //
     },
     exchange::{
@@ -27,8 +27,8 @@
     reactor::Reactor, //
     response::{
         FORWARD_HEADER,
-        OwnAnswer,
-        write_own, //
+        GatewayResponse,
+        write_gateway_response, //
     },
 };
 use crate::platform::headers::{
@@ -66,17 +66,17 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let end = client.wire.fill();
-        if !client.wire.input.is_empty() {
-            client.active_ms = now_ms;
+        let read_state = client.socket.fill();
+        if !client.socket.input.is_empty() {
+            client.last_active_ms = now_ms;
         }
-        match end {
-            ReadEnd::Broken => return self.drop_client(key),
-            ReadEnd::Closed => client.is_read_closed = true,
-            ReadEnd::Open => {}
+        match read_state {
+            ReadState::Broken => return self.drop_client(key),
+            ReadState::Closed => client.is_read_closed = true,
+            ReadState::Open => {}
         }
         if client.exchange.is_some() {
-            let has_left = client.is_read_closed || client.wire.input.len() > MAX_PIPELINED_BYTES;
+            let has_left = client.is_read_closed || client.socket.input.len() > MAX_PIPELINED_BYTES;
             if has_left {
                 self.drop_client(key);
             }
@@ -93,24 +93,24 @@
             let Some(client) = self.clients.get_mut(key) else {
                 return;
             };
-            if client.exchange.is_some() || client.closes {
+            if client.exchange.is_some() || client.is_closing {
                 return;
             }
-            if !client.wire.input.is_empty() && client.request_started_ms.is_none() {
+            if !client.socket.input.is_empty() && client.request_started_ms.is_none() {
                 client.request_started_ms = Some(now_ms);
             }
             match read_request(client, &limits) {
                 Ok(Some((head, body))) => self.handle_request(key, head, body),
                 Ok(None) if client.is_read_closed => return self.drop_client(key),
                 Ok(None) => {
-                    if client.wire.unwritten() > 0 {
+                    if client.socket.unwritten() > 0 {
                         self.flush_client(key);
                     }
                     return;
                 }
                 Err(status) => {
                     tracing::info!(status, "request refused because of its form");
-                    self.answer_and_close(key, OwnAnswer::plain(status));
+                    self.respond_and_close(key, GatewayResponse::new(status));
                     return;
                 }
             }
@@ -127,25 +127,25 @@
             return;
         };
         client.request_started_ms = None;
-        if !head.keeps_open || client.is_read_closed {
-            client.closes = true;
+        if !head.is_keep_alive || client.is_read_closed {
+            client.is_closing = true;
         }
         match client.role {
-            Role::Caller => self.handle_call(key, head, body, None),
+            Role::Caller => self.route_request(key, head, body, None),
             Role::Peer if head.path() == NEWS_PATH => self.answer_news(key, head.query()),
             Role::Peer => match head.header(FORWARD_HEADER).and_then(Plan::decode) {
-                Some(plan) => self.handle_call(key, head, body, Some(plan)),
-                None => self.answer_own(key, OwnAnswer::plain(400)),
+                Some(plan) => self.route_request(key, head, body, Some(plan)),
+                None => self.respond(key, GatewayResponse::new(400)),
             },
-            Role::Directory => self.answer_directory(key, &head),
-            Role::Ready => self.answer_ready(key, &head),
-            Role::Metrics => self.answer_metrics(key),
+            Role::Directory => self.handle_directory(key, &head),
+            Role::Ready => self.handle_ready(key, &head),
+            Role::Metrics => self.handle_metrics(key),
         }
     }
 
     /// Starts an exchange for a request of a caller, or of another host that
     /// has already planned it.
-    fn handle_call(
+    fn route_request(
         &mut self,
         key: usize,
         head: RequestHead,
@@ -155,11 +155,11 @@
         let now_ms = self.now_ms();
         let call = decode_call(&head.headers);
         let is_forwarded = forwarded.is_some();
-        if self.refuses_new(now_ms) {
-            return self.refuse_unplanned(key, &call.attempt, "leaving", LEAVING_RETRY_MS);
+        if self.is_refusing_new(now_ms) {
+            return self.refuse_unrouted(key, &call.attempt, "leaving", LEAVING_RETRY_MS);
         }
         let Some(configuration) = self.configuration.clone() else {
-            return self.refuse_unplanned(
+            return self.refuse_unrouted(
                 key,
                 &call.attempt,
                 "no configuration",
@@ -184,7 +184,7 @@
                         status = 404,
                         "request answered"
                     );
-                    return self.answer_own(key, OwnAnswer::plain(404));
+                    return self.respond(key, GatewayResponse::new(404));
                 };
                 plan
             }
@@ -193,7 +193,7 @@
         self.start_exchange(key, request, plan, configuration.version, is_forwarded);
     }
 
-    fn refuse_unplanned(&mut self, key: usize, attempt: &str, cause: &str, retry_ms: u64) {
+    fn refuse_unrouted(&mut self, key: usize, attempt: &str, cause: &str, retry_ms: u64) {
         tracing::info!(
             request = attempt,
             cause,
@@ -202,12 +202,12 @@
             status = 503,
             "request answered"
         );
-        self.answer_and_close(key, OwnAnswer::refusal(retry_ms));
+        self.respond_and_close(key, GatewayResponse::refusal(retry_ms));
     }
 
-    fn answer_directory(&mut self, key: usize, head: &RequestHead) {
+    fn handle_directory(&mut self, key: usize, head: &RequestHead) {
         if head.path() != DIRECTORY_PATH {
-            return self.answer_own(key, OwnAnswer::plain(404));
+            return self.respond(key, GatewayResponse::new(404));
         }
         let query = decode_directory_query(head.query());
         let now_ms = self.now_ms();
@@ -219,71 +219,83 @@
             now_ms,
         );
         if addresses.is_empty() || !self.is_synchronised {
-            return self.answer_own(key, OwnAnswer::refusal(NOT_READY_RETRY_MS));
+            return self.respond(key, GatewayResponse::refusal(NOT_READY_RETRY_MS));
         }
         let body = encode_directory_answer(&addresses, DIRECTORY_TTL_S);
-        self.answer_with(key, OwnAnswer::plain(200), "application/json", &body);
+        self.respond_with_body(key, GatewayResponse::new(200), "application/json", &body);
     }
 
     /// Whether the host takes requests.
     pub(super) fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.is_synchronised && self.leave_started_ms.is_none()
+        self.configuration.is_some() && self.is_synchronised && self.shutdown_started_ms.is_none()
     }
 
-    fn answer_ready(&mut self, key: usize, head: &RequestHead) {
+    fn handle_ready(&mut self, key: usize, head: &RequestHead) {
         let status = match head.path() == READY_PATH {
             false => 404,
             true if self.is_ready() => 200,
             true => 503,
         };
-        self.answer_own(key, OwnAnswer::plain(status));
+        self.respond(key, GatewayResponse::new(status));
     }
 
     fn answer_news(&mut self, key: usize, query: &str) {
         let news = self.belief.as_ref().map(|belief| tell_news(belief, query));
         match news {
             Some(Ok(bytes)) => {
-                let answer = OwnAnswer::plain(200);
-                self.answer_with(key, answer, "application/octet-stream", &bytes);
+                let answer = GatewayResponse::new(200);
+                self.respond_with_body(key, answer, "application/octet-stream", &bytes);
             }
             Some(Err(error)) => {
                 tracing::error!(%error, "could not encode the news");
-                self.answer_own(key, OwnAnswer::plain(500));
+                self.respond(key, GatewayResponse::new(500));
             }
-            None => self.answer_own(key, OwnAnswer::plain(503)),
+            None => self.respond(key, GatewayResponse::new(503)),
         }
     }
 
-    fn answer_metrics(&mut self, key: usize) {
+    fn handle_metrics(&mut self, key: usize) {
         let text = self.telemetry.render();
-        self.answer_with(
+        self.respond_with_body(
             key,
-            OwnAnswer::plain(200),
+            GatewayResponse::new(200),
             "text/plain; version=0.0.4",
             text.as_bytes(),
         );
     }
 
     /// Answers on a connection without an exchange.
-    pub(super) fn answer_own(&mut self, key: usize, answer: OwnAnswer) {
-        self.answer_with(key, answer, "text/plain", b"");
+    pub(super) fn respond(&mut self, key: usize, answer: GatewayResponse) {
+        self.respond_with_body(key, answer, "text/plain", b"");
     }
 
-    fn answer_and_close(&mut self, key: usize, answer: OwnAnswer) {
+    fn respond_and_close(&mut self, key: usize, answer: GatewayResponse) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.closes = true;
+            client.is_closing = true;
         }
-        self.answer_own(key, answer);
+        self.respond(key, answer);
     }
 
-    fn answer_with(&mut self, key: usize, answer: OwnAnswer, content_type: &str, body: &[u8]) {
-        let is_leaving = self.leave_started_ms.is_some();
+    fn respond_with_body(
+        &mut self,
+        key: usize,
+        answer: GatewayResponse,
+        content_type: &str,
+        body: &[u8],
+    ) {
+        let is_leaving = self.shutdown_started_ms.is_some();
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        client.closes |= is_leaving;
-        let closes = client.closes;
-        write_own(answer, content_type, body, closes, client.wire.output());
+        client.is_closing |= is_leaving;
+        let is_closing = client.is_closing;
+        write_gateway_response(
+            answer,
+            content_type,
+            body,
+            is_closing,
+            client.socket.output(),
+        );
         self.flush_client(key);
     }
 
@@ -292,15 +304,15 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        if !client.wire.flush() {
+        if !client.socket.flush() {
             return self.drop_client(key);
         }
-        let is_written = client.wire.unwritten() == 0;
-        if client.closes && is_written && client.exchange.is_none() {
+        let is_written = client.socket.unwritten() == 0;
+        if client.is_closing && is_written && client.exchange.is_none() {
             return self.close_client(key);
         }
         let exchange = client.exchange;
-        if client.wire.unwritten() < MAX_OUTPUT_BYTES / 2 {
+        if client.socket.unwritten() < MAX_OUTPUT_BYTES / 2 {
             self.resume_reading(exchange);
         }
     }
@@ -312,12 +324,12 @@
             return;
         };
         client.exchange = None;
-        client.active_ms = now_ms;
+        client.last_active_ms = now_ms;
         self.flush_client(key);
         if let Some(client) = self.clients.get_mut(key)
-            && !client.closes
+            && !client.is_closing
         {
-            client.wire.shrink();
+            client.socket.shrink();
             self.read_requests(key);
         }
     }
@@ -328,7 +340,7 @@
             return;
         };
         // Deregistration also happens when the socket is closed.
-        let _ = self.poll.registry().deregister(&mut client.wire.stream);
+        let _ = self.poll.registry().deregister(&mut client.socket.stream);
     }
 
     /// Ends a connection; its caller has left or gets no complete answer.
@@ -336,7 +348,7 @@
         let exchange = self.clients.get(key).and_then(|client| client.exchange);
         self.close_client(key);
         if let Some(exchange) = exchange {
-            self.abandon(exchange);
+            self.caller_disconnected(exchange);
         }
     }
 
@@ -350,15 +362,15 @@
             }
             match client.request_started_ms {
                 Some(started_ms) => {
-                    let limit_ms = match client.reading {
-                        Reading::Head => limits.head_timeout_ms,
-                        Reading::Body { .. } => limits.idle_timeout_ms,
+                    let limit_ms = match client.request_progress {
+                        RequestProgress::Head => limits.head_timeout_ms,
+                        RequestProgress::Body { .. } => limits.idle_timeout_ms,
                     };
                     if now_ms >= started_ms + limit_ms {
                         late.push(key);
                     }
                 }
-                None if now_ms >= client.active_ms + limits.idle_timeout_ms => idle.push(key),
+                None if now_ms >= client.last_active_ms + limits.idle_timeout_ms => idle.push(key),
                 None => {}
             }
         }
@@ -367,7 +379,7 @@
         }
         for key in late {
             tracing::info!("request was not complete in time");
-            self.answer_and_close(key, OwnAnswer::plain(408));
+            self.respond_and_close(key, GatewayResponse::new(408));
         }
     }
 }
@@ -379,25 +391,25 @@
     client: &mut Client,
     limits: &CallerLimits,
 ) -> Result<Option<(RequestHead, Vec<u8>)>, u16> {
-    if let Reading::Head = client.reading {
-        let parsed = parse_request(&client.wire.input, limits.max_head_bytes);
+    if let RequestProgress::Head = client.request_progress {
+        let parsed = parse_request(&client.socket.input, limits.max_head_bytes);
         let Some((head, length)) = parsed.map_err(status_of)? else {
             return Ok(None);
         };
-        client.wire.input.drain(..length);
+        client.socket.input.drain(..length);
         let decoder = BodyDecoder::new(head.framing);
-        if head.expects_continue && !decoder.is_done() && client.wire.input.is_empty() {
-            client.wire.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
+        if head.expects_continue && !decoder.is_done() && client.socket.input.is_empty() {
+            client.socket.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        client.reading = Reading::Body {
+        client.request_progress = RequestProgress::Body {
             head: Box::new(head),
             decoder,
             content: Vec::new(),
         };
     }
-    let Reading::Body {
+    let RequestProgress::Body {
         decoder, content, ..
-    } = &mut client.reading
+    } = &mut client.request_progress
     else {
         return Ok(None);
     };
@@ -407,18 +419,18 @@
         return Err(413);
     }
     let used = decoder
-        .decode(&client.wire.input, content)
+        .decode(&client.socket.input, content)
         .map_err(|_| 400_u16)?;
-    client.wire.input.drain(..used);
+    client.socket.input.drain(..used);
     if content.len() > limits.max_body_bytes {
         return Err(413);
     }
     if !decoder.is_done() {
         return Ok(None);
     }
-    match std::mem::replace(&mut client.reading, Reading::Head) {
-        Reading::Body { head, content, .. } => Ok(Some((*head, content))),
-        Reading::Head => Ok(None),
+    match std::mem::replace(&mut client.request_progress, RequestProgress::Head) {
+        RequestProgress::Body { head, content, .. } => Ok(Some((*head, content))),
+        RequestProgress::Head => Ok(None),
     }
 }
 
@@ -426,6 +438,6 @@
     match error {
         HeadError::Malformed => 400,
         HeadError::TooLong => 431,
-        HeadError::Coding => 501,
+        HeadError::UnsupportedCoding => 501,
     }
 }
--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -12,10 +12,10 @@
     },
     reactor::Reactor,
     response::{
-        OwnAnswer,
-        write_own, //
+        GatewayResponse,
+        write_gateway_response, //
     },
-    serve_upstream::Breakage, //
+    serve_upstream::UpstreamError, //
 };
 
 /// Endpoints tried for one request that none of them has run. Those that are
@@ -27,36 +27,36 @@
 /// sent to another endpoint.
 const MIN_STALL_MS: u64 = 1_200;
 /// The same for a request in another region, which is predicted less well.
-const AWAY_STALL_MS: u64 = 2_500;
+const REMOTE_STALL_MS: u64 = 2_500;
 /// Factor on the predicted time until the first event for the same purpose.
 const STALL_FACTOR: f64 = 4.0;
 
 impl Reactor {
     /// The connection of a sending broke.
-    pub(super) fn sending_failed(&mut self, key: usize, breakage: Breakage) {
+    pub(super) fn dispatch_failed(&mut self, key: usize, error: UpstreamError) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
         let destination = exchange.destination().cloned();
-        let failure = match breakage {
-            Breakage::Unreachable => Failure::Unreachable,
-            Breakage::Broken => Failure::Broken,
+        let failure = match error {
+            UpstreamError::Unreachable => Failure::Unreachable,
+            UpstreamError::Broken => Failure::Broken,
         };
         match destination {
-            Some(Destination::Endpoint(choice)) if breakage == Breakage::Broken => {
+            Some(Destination::Endpoint(choice)) if error == UpstreamError::Broken => {
                 exchange.avoided.push(choice.endpoint);
             }
             Some(Destination::Endpoint(choice)) => exchange.excluded.push(choice.endpoint),
             Some(Destination::Region { region, .. }) => exchange.excluded_regions.push(region),
             None => {}
         }
-        exchange.held.clear();
+        exchange.buffered.clear();
         exchange.events.discard_partial();
         let excluded = exchange.excluded.len() + exchange.excluded_regions.len();
-        self.end_sending(key, Some(failure), now_ms);
-        if breakage == Breakage::Unreachable {
-            if self.exchanges[key].has_reply_begun {
+        self.end_dispatch(key, Some(failure), now_ms);
+        if error == UpstreamError::Unreachable {
+            if self.exchanges[key].has_response_begun {
                 return self.cut_off(key, "no endpoint could be reached");
             }
             if excluded < MAX_EXCLUDED {
@@ -64,16 +64,16 @@
             }
             return self.refuse(key, "no endpoint could be reached", UNREACHABLE_RETRY_MS);
         }
-        if self.repeat(key, "connection broke") {
+        if self.try_retry(key, "connection broke") {
             return;
         }
         if self.exchanges.get(key).is_none() {
             return;
         }
-        if self.exchanges[key].has_reply_begun {
+        if self.exchanges[key].has_response_begun {
             self.cut_off(key, "answer broke off");
         } else {
-            self.fail(key, "answer broke off", OwnAnswer::plain(502));
+            self.fail(key, "answer broke off", GatewayResponse::new(502));
         }
     }
 
@@ -90,17 +90,17 @@
 
     /// Sends a request that may have run to another endpoint, if it may run
     /// again and the budget allows it.
-    pub(super) fn repeat(&mut self, key: usize, cause: &str) -> bool {
+    pub(super) fn try_retry(&mut self, key: usize, cause: &str) -> bool {
         let now_ms = self.now_ms();
         let hosts = self.hosts.live_count(now_ms);
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return false;
         };
-        let may_repeat = exchange.plan.may_repeat()
+        let is_retryable = exchange.plan.is_retryable()
             && exchange.client.is_some()
             && exchange.run_count < exchange.plan.max_attempts
             && now_ms < exchange.deadline_ms;
-        if !may_repeat {
+        if !is_retryable {
             return false;
         }
         let service = exchange.plan.service.clone();
@@ -108,19 +108,19 @@
         let is_allowed = self.budget.take(&service, hosts, now_ms);
         tracing::info!(request = %attempt, cause, is_allowed, "repeat decided");
         if is_allowed {
-            self.telemetry.count_repeat();
-            self.exchanges[key].held.clear();
+            self.telemetry.count_retry();
+            self.exchanges[key].buffered.clear();
             self.place_exchange(key);
         }
         is_allowed
     }
 
     /// Ends the present sending of a request and records how it went.
-    pub(super) fn end_sending(&mut self, key: usize, failure: Option<Failure>, now_ms: u64) {
+    pub(super) fn end_dispatch(&mut self, key: usize, failure: Option<Failure>, now_ms: u64) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let Some(sending) = exchange.sending.take() else {
+        let Some(dispatch) = exchange.dispatch.take() else {
             return;
         };
         let was_sent = !matches!(
@@ -130,15 +130,15 @@
         if was_sent {
             exchange.run_count += 1;
         }
-        if let Some(upstream) = self.upstreams.get_mut(sending.upstream)
+        if let Some(upstream) = self.upstreams.get_mut(dispatch.upstream)
             && upstream.exchange == Some(key)
         {
             upstream.exchange = None;
         }
-        if let Destination::Endpoint(choice) = &sending.destination
+        if let Destination::Endpoint(choice) = &dispatch.destination
             && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
         {
-            endpoint.finish(choice.work, sending.has_begun);
+            endpoint.finish(choice.work, dispatch.has_begun);
             self.pending_update.record_change(&choice.endpoint);
             let blocked = failure.is_some_and(|failure| endpoint.fail(failure, now_ms));
             if blocked {
@@ -163,17 +163,17 @@
         };
         // Something of it may have run, so nothing can be promised.
         if exchange.run_count > 0 {
-            if exchange.has_reply_begun {
+            if exchange.has_response_begun {
                 return self.cut_off(key, cause);
             }
-            return self.fail(key, cause, OwnAnswer::plain(502));
+            return self.fail(key, cause, GatewayResponse::new(502));
         }
-        self.fail(key, cause, OwnAnswer::refusal(retry_ms));
+        self.fail(key, cause, GatewayResponse::refusal(retry_ms));
     }
 
     /// Ends a request with an answer of the gateway itself.
-    pub(super) fn fail(&mut self, key: usize, cause: &'static str, answer: OwnAnswer) {
-        let is_leaving = self.leave_started_ms.is_some();
+    pub(super) fn fail(&mut self, key: usize, cause: &'static str, answer: GatewayResponse) {
+        let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
@@ -181,9 +181,15 @@
             .client
             .and_then(|client| self.clients.get_mut(client))
         {
-            client.closes |= is_leaving;
-            let closes = client.closes;
-            write_own(answer, "text/plain", b"", closes, client.wire.output());
+            client.is_closing |= is_leaving;
+            let is_closing = client.is_closing;
+            write_gateway_response(
+                answer,
+                "text/plain",
+                b"",
+                is_closing,
+                client.socket.output(),
+            );
         }
         self.end_exchange(key, cause, answer.status);
     }
@@ -199,7 +205,7 @@
         if let Some(client) = client {
             if let Some(connection) = self.clients.get_mut(client) {
                 connection.exchange = None;
-                connection.wire.flush();
+                connection.socket.flush();
             }
             self.close_client(client);
         }
@@ -220,18 +226,18 @@
     }
 
     /// The caller has left.
-    pub(super) fn abandon(&mut self, key: usize) {
+    pub(super) fn caller_disconnected(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
         exchange.client = None;
-        let sending = exchange.sending.as_ref().map(|sending| sending.upstream);
-        if exchange.plan.runs_without_caller() && sending.is_some() {
+        let dispatch = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
+        if exchange.plan.runs_without_caller() && dispatch.is_some() {
             return;
         }
-        self.end_sending(key, None, now_ms);
-        if let Some(upstream) = sending {
+        self.end_dispatch(key, None, now_ms);
+        if let Some(upstream) = dispatch {
             self.close_upstream(upstream);
         }
         self.end_exchange(key, "caller left", 0);
@@ -256,7 +262,7 @@
             self.time_out(key, now_ms);
         }
         for key in stalled {
-            self.leave_stalled(key);
+            self.retry_stalled(key);
         }
     }
 
@@ -264,29 +270,29 @@
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let Some(sending) = exchange.sending.clone() else {
+        let Some(dispatch) = exchange.dispatch.clone() else {
             return self.refuse(key, "no endpoint in time", UNREACHABLE_RETRY_MS);
         };
         let runs_on = exchange.plan.runs_without_caller();
-        self.end_sending(key, None, now_ms);
+        self.end_dispatch(key, None, now_ms);
         if !runs_on {
-            self.close_upstream(sending.upstream);
+            self.close_upstream(dispatch.upstream);
         }
-        if self.exchanges[key].has_reply_begun {
+        if self.exchanges[key].has_response_begun {
             self.cut_off(key, "time limit during the answer");
         } else {
-            self.fail(key, "time limit", OwnAnswer::plain(504));
+            self.fail(key, "time limit", GatewayResponse::new(504));
         }
     }
 
     /// Gives up on an endpoint that makes no progress, if another may go on.
-    pub(super) fn leave_stalled(&mut self, key: usize) {
+    pub(super) fn retry_stalled(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let hosts = self.hosts.live_count(now_ms);
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let Some(sending) = exchange.sending.clone() else {
+        let Some(dispatch) = exchange.dispatch.clone() else {
             return;
         };
         let service = exchange.plan.service.clone();
@@ -296,32 +302,32 @@
         let exchange = &mut self.exchanges[key];
         tracing::info!(
             request = %exchange.request.call.attempt,
-            silent_ms = now_ms.saturating_sub(sending.progress_ms),
+            silent_ms = now_ms.saturating_sub(dispatch.progress_ms),
             "endpoint stalls; request repeated"
         );
-        exchange.held.clear();
+        exchange.buffered.clear();
         exchange.events.discard_partial();
         self.avoid_destination(key);
-        self.end_sending(key, Some(Failure::Broken), now_ms);
-        self.close_upstream(sending.upstream);
-        self.telemetry.count_repeat();
+        self.end_dispatch(key, Some(Failure::Broken), now_ms);
+        self.close_upstream(dispatch.upstream);
+        self.telemetry.count_retry();
         self.place_exchange(key);
     }
 }
 
 fn is_stalled(exchange: &Exchange, now_ms: u64) -> bool {
-    let Some(sending) = &exchange.sending else {
+    let Some(dispatch) = &exchange.dispatch else {
         return false;
     };
-    let may_repeat = exchange.plan.may_repeat()
+    let is_retryable = exchange.plan.is_retryable()
         && exchange.client.is_some()
         && exchange.run_count + 1 < exchange.plan.max_attempts;
-    let limit_ms = match &sending.destination {
-        Destination::Region { .. } => AWAY_STALL_MS,
-        Destination::Endpoint(_) if sending.has_begun => MIN_STALL_MS,
+    let limit_ms = match &dispatch.destination {
+        Destination::Region { .. } => REMOTE_STALL_MS,
+        Destination::Endpoint(_) if dispatch.has_begun => MIN_STALL_MS,
         Destination::Endpoint(choice) => {
             MIN_STALL_MS.max((choice.first_event_ms * STALL_FACTOR) as u64)
         }
     };
-    may_repeat && now_ms >= sending.progress_ms + limit_ms
+    is_retryable && now_ms >= dispatch.progress_ms + limit_ms
 }
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a request to an endpoint or to another region.
+//! Sends a request to an endpoint or to another region.
 
 use std::rc::Rc;
 
@@ -10,13 +10,13 @@
 use super::{
     admission::AwayOffer,
     connection::{
-        Answering,
+        ResponseProgress,
         UpstreamPhase, //
     },
     exchange::{
         Destination,
-        Placed,
-        Sending, //
+        Dispatch, //
+        PlacementRecord,
     },
     fleet::Choice,
     head::Framing,
@@ -26,7 +26,7 @@
         write_request_start, //
     },
     serve_completion::UNREACHABLE_RETRY_MS, //
-    serve_upstream::Breakage,
+    serve_upstream::UpstreamError,
 };
 use crate::platform::headers::{
     EndpointHeaders,
@@ -61,7 +61,7 @@
             last_event: self.resume_header(key),
             fetch_from: choice.fetch_from,
         };
-        self.exchanges[key].placed = Some(Placed {
+        self.exchanges[key].placement = Some(PlacementRecord {
             destination: choice.endpoint.clone(),
             predicted_ms: choice.first_event_ms as u64,
             backlog_ms: choice.backlog_ms as u64,
@@ -79,7 +79,7 @@
         self.send(key, address, destination, &headers, None);
     }
 
-    pub(super) fn send_away(&mut self, key: usize, offer: AwayOffer) {
+    pub(super) fn send_to_region(&mut self, key: usize, offer: AwayOffer) {
         let now_ms = self.now_ms();
         let Some(host) = self.random_host(&offer.region, now_ms) else {
             return;
@@ -115,7 +115,7 @@
             predicted_ms = offer.first_event_ms as u64,
             "request sent to another region"
         );
-        self.exchanges[key].placed = Some(Placed {
+        self.exchanges[key].placement = Some(PlacementRecord {
             destination: format_compact!("{}/{}", offer.region, host.name),
             predicted_ms: offer.first_event_ms as u64,
             backlog_ms: 0,
@@ -129,7 +129,7 @@
             .record_away(&offer.region, &service.name, work_ms);
         self.fleet
             .remember_away(&offer.region, &request.call, now_ms);
-        self.telemetry.count_away();
+        self.telemetry.count_remote();
         let destination = Destination::Region {
             region: offer.region,
             host: host.name,
@@ -169,22 +169,22 @@
             self.waiting.retain(|other| *other != key);
         }
         let Some(upstream) = upstream else {
-            exchange.sending = Some(Sending {
+            exchange.dispatch = Some(Dispatch {
                 destination,
                 upstream: usize::MAX,
                 sent_ms: now_ms,
                 has_begun: false,
-                is_good: false,
+                is_success: false,
                 progress_ms: now_ms,
             });
-            return self.sending_failed(key, Breakage::Unreachable);
+            return self.dispatch_failed(key, UpstreamError::Unreachable);
         };
-        exchange.sending = Some(Sending {
+        exchange.dispatch = Some(Dispatch {
             destination,
             upstream,
             sent_ms: now_ms,
             has_begun: false,
-            is_good: false,
+            is_success: false,
             progress_ms: now_ms,
         });
         let is_head_request = exchange.request.head.method == "HEAD";
@@ -194,12 +194,12 @@
         connection.is_paused = false;
         connection.is_head_request = is_head_request;
         connection.request_count += 1;
-        connection.answering = Answering::Head;
-        connection.wire.queue(&bytes);
+        connection.response_progress = ResponseProgress::Head;
+        connection.socket.queue(&bytes);
         if connection.phase == UpstreamPhase::Idle {
             connection.phase = UpstreamPhase::Busy;
             // A failed write shows as a failed read.
-            connection.wire.flush();
+            connection.socket.flush();
         }
     }
 
@@ -236,11 +236,11 @@
 
     /// A connection for an exchange has been made.
     pub(super) fn record_connected(&mut self, exchange: Option<usize>, connect_ms: u64) {
-        let sending = exchange
+        let dispatch = exchange
             .and_then(|exchange| self.exchanges.get(exchange))
-            .and_then(|exchange| exchange.sending.as_ref());
+            .and_then(|exchange| exchange.dispatch.as_ref());
         if let Some(Destination::Region { region, .. }) =
-            sending.map(|sending| &sending.destination)
+            dispatch.map(|dispatch| &dispatch.destination)
         {
             let measured = connect_ms as f64;
             let known = self.round_trip_ms.entry(region.clone()).or_insert(measured);
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -20,7 +20,7 @@
         CallerRequest,
         Exchange,
         Plan,
-        Refused, //
+        RefusalRecord, //
     },
     fleet::Demand,
     hosts::HostInfo,
@@ -32,7 +32,7 @@
 /// Round trip to another region before one was measured.
 const DEFAULT_ROUND_TRIP_MS: f64 = 150.0;
 /// Age beyond which another region's load is not believed: several beacons.
-const MAX_AWAY_AGE_MS: u64 = 2_500;
+const MAX_REMOTE_LOAD_AGE_MS: u64 = 2_500;
 /// Placements tried in one pass over the waiting requests of a service.
 const MAX_PLACEMENTS: usize = 24;
 
@@ -64,13 +64,13 @@
             avoided: Vec::new(),
             excluded_regions: Vec::new(),
             is_waiting: false,
-            sending: None,
-            placed: None,
-            refused: None,
+            dispatch: None,
+            placement: None,
+            refusal: None,
             first_event_at_ms: None,
-            has_reply_begun: false,
+            has_response_begun: false,
             events: EventSplitter::new(),
-            held: Vec::new(),
+            buffered: Vec::new(),
         };
         let key = self.exchanges.insert(exchange);
         if let Some(client) = self.clients.get_mut(client) {
@@ -88,7 +88,7 @@
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let inputs = Refused {
+        let inputs = RefusalRecord {
             here_ms: situation
                 .here
                 .as_ref()
@@ -102,7 +102,7 @@
         };
         match place(situation) {
             Placement::Send(choice) => self.send_to_endpoint(key, choice),
-            Placement::Away(offer) => self.send_away(key, offer),
+            Placement::Away(offer) => self.send_to_region(key, offer),
             Placement::Wait => {
                 if !exchange.is_waiting {
                     exchange.is_waiting = true;
@@ -110,7 +110,7 @@
                 }
             }
             Placement::Refuse(retry_ms) => {
-                exchange.refused = Some(Refused { retry_ms, ..inputs });
+                exchange.refusal = Some(RefusalRecord { retry_ms, ..inputs });
                 self.refuse(key, "no capacity in time", retry_ms);
             }
         }
@@ -135,7 +135,7 @@
             self.fleet.choose(&demand, now_ms)
         };
         let unwanted = [exchange.excluded.as_slice(), exchange.avoided.as_slice()].concat();
-        let away = self.away_offer(exchange, &service, now_ms);
+        let away = self.best_remote_offer(exchange, &service, now_ms);
         let untried = is_home.then(|| choose(&unwanted)).flatten();
         // An endpoint that failed the request is only tried again if no other
         // region can be.
@@ -196,7 +196,7 @@
             .sum()
     }
 
-    pub(super) fn away_offer(
+    pub(super) fn best_remote_offer(
         &self,
         exchange: &Exchange,
         service: &Service,
@@ -214,11 +214,11 @@
             .filter(|region| *region != own && exchange.plan.allows_region(region))
             .filter(|region| !exchange.excluded_regions.contains(region))
             .filter(|region| self.hosts.live(now_ms).any(|host| host.region == **region))
-            .filter_map(|region| self.offer_of(region, exchange, service, now_ms))
+            .filter_map(|region| self.remote_offer(region, exchange, service, now_ms))
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
-    pub(super) fn offer_of(
+    pub(super) fn remote_offer(
         &self,
         region: &CompactString,
         exchange: &Exchange,
@@ -226,7 +226,7 @@
         now_ms: u64,
     ) -> Option<AwayOffer> {
         let (load, age_ms) = self.hosts.away_load(region, &service.name, now_ms)?;
-        if age_ms > MAX_AWAY_AGE_MS || load.endpoint_count == 0 {
+        if age_ms > MAX_REMOTE_LOAD_AGE_MS || load.endpoint_count == 0 {
             return None;
         }
         let round_trip_ms = self.round_trip_ms.get(region).copied();
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -8,19 +8,19 @@
         write_chunk,
         write_last_chunk, //
     },
-    connection::Answering,
+    connection::ResponseProgress,
     endpoint::Failure,
     exchange::{
         Destination,
-        Sending, //
+        Dispatch, //
     },
     head::ResponseHead,
     reactor::Reactor,
     response::{
         BodyFrame,
+        GatewayResponse,
         NOT_RUN_HEADER,
-        OwnAnswer,
-        write_head, //
+        write_response_head, //
     },
     serve_completion::{
         MAX_EXCLUDED,
@@ -28,69 +28,74 @@
     }, //
 };
 use crate::platform::headers::{
-    Verdict,
-    decode_verdict, //
+    ResponseMetadata,
+    decode_response_metadata, //
 };
 
 /// Answers up to this size are passed on only when they are complete, so that a
 /// broken one can still be replaced.
-const MAX_HELD_BYTES: usize = 512 * 1024;
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
 impl Reactor {
     /// The head of an answer has arrived.
-    pub(super) fn answer_begins(&mut self, key: usize, head: &ResponseHead, verdict: &Verdict) {
+    pub(super) fn on_response_head(
+        &mut self,
+        key: usize,
+        head: &ResponseHead,
+        metadata: &ResponseMetadata,
+    ) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        if let Some(Sending {
+        if let Some(Dispatch {
             destination: Destination::Endpoint(choice),
             ..
-        }) = &exchange.sending
+        }) = &exchange.dispatch
             && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
         {
-            if let Some(load) = verdict.load {
+            if let Some(load) = metadata.load {
                 endpoint.report(load, now_ms);
             }
-            if let Some(left_ms) = verdict.cold_left_ms {
+            if let Some(left_ms) = metadata.cold_left_ms {
                 endpoint.set_cold(left_ms, now_ms);
             }
         }
-        let is_good = is_good(head, verdict);
-        if let Some(sending) = &mut exchange.sending {
-            sending.is_good = is_good;
-            sending.progress_ms = now_ms;
+        let is_success = is_success(head, metadata);
+        if let Some(dispatch) = &mut exchange.dispatch {
+            dispatch.is_success = is_success;
+            dispatch.progress_ms = now_ms;
         }
-        if !exchange.plan.is_stream || !is_good {
-            exchange.held.clear();
+        if !exchange.plan.is_stream || !is_success {
+            exchange.buffered.clear();
         }
     }
 
     /// Content of an answer has arrived.
-    pub(super) fn answer_continues(&mut self, key: usize, content: &[u8]) {
+    pub(super) fn on_response_body(&mut self, key: usize, content: &[u8]) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let Some(sending) = &mut exchange.sending else {
+        let Some(dispatch) = &mut exchange.dispatch else {
             return;
         };
-        sending.progress_ms = now_ms;
-        let is_good = sending.is_good;
-        let Some(upstream) = self.upstreams.get(sending.upstream) else {
+        dispatch.progress_ms = now_ms;
+        let is_success = dispatch.is_success;
+        let Some(upstream) = self.upstreams.get(dispatch.upstream) else {
             return;
         };
-        let Answering::Body { head, .. } = &upstream.answering else {
+        let ResponseProgress::Body { head, .. } = &upstream.response_progress else {
             return;
         };
-        if !exchange.plan.is_stream || !is_good {
-            exchange.held.extend_from_slice(content);
-            if exchange.held.len() > MAX_HELD_BYTES && is_good {
+        if !exchange.plan.is_stream || !is_success {
+            exchange.buffered.extend_from_slice(content);
+            if exchange.buffered.len() > MAX_BUFFERED_BYTES && is_success {
                 let head = head.clone();
-                self.begin_reply(key, &head);
+                self.write_head_once(key, &head);
                 let exchange = &mut self.exchanges[key];
-                let held = std::mem::take(&mut exchange.held);
-                self.write_reply(key, &held);
+                let buffered = std::mem::take(&mut exchange.buffered);
+                self.write_body_chunk(key, &buffered);
             }
             return;
         }
@@ -100,28 +105,28 @@
             return;
         }
         let head = head.clone();
-        self.first_event(key, now_ms);
-        self.begin_reply(key, &head);
-        self.write_reply(key, &whole);
+        self.record_first_event(key, now_ms);
+        self.write_head_once(key, &head);
+        self.write_body_chunk(key, &whole);
     }
 
     /// The first event, or the answer, of the present sending has arrived.
-    pub(super) fn first_event(&mut self, key: usize, now_ms: u64) {
+    pub(super) fn record_first_event(&mut self, key: usize, now_ms: u64) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let Some(sending) = &mut exchange.sending else {
+        let Some(dispatch) = &mut exchange.dispatch else {
             return;
         };
-        if sending.has_begun {
+        if dispatch.has_begun {
             return;
         }
-        sending.has_begun = true;
+        dispatch.has_begun = true;
         exchange.first_event_at_ms.get_or_insert(now_ms);
-        let actual_ms = now_ms.saturating_sub(sending.sent_ms) as f64;
+        let actual_ms = now_ms.saturating_sub(dispatch.sent_ms) as f64;
         self.telemetry
             .observe_first_event(now_ms.saturating_sub(exchange.arrived_ms));
-        if let Destination::Endpoint(choice) = &sending.destination {
+        if let Destination::Endpoint(choice) = &dispatch.destination {
             let choice = choice.clone();
             let service = exchange.plan.service.clone();
             if let Some(endpoint) = self.fleet.get_mut(&choice.endpoint) {
@@ -136,66 +141,66 @@
     }
 
     /// Writes the head of the answer to the caller, once.
-    pub(super) fn begin_reply(&mut self, key: usize, head: &ResponseHead) {
-        let is_leaving = self.leave_started_ms.is_some();
+    pub(super) fn write_head_once(&mut self, key: usize, head: &ResponseHead) {
+        let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        if exchange.has_reply_begun {
+        if exchange.has_response_begun {
             return;
         }
-        exchange.has_reply_begun = true;
+        exchange.has_response_begun = true;
         let Some(client) = exchange
             .client
             .and_then(|client| self.clients.get_mut(client))
         else {
             return;
         };
-        client.closes |= is_leaving;
-        let closes = client.closes;
-        write_head(head, BodyFrame::Chunked, closes, client.wire.output());
+        client.is_closing |= is_leaving;
+        let is_closing = client.is_closing;
+        write_response_head(head, BodyFrame::Chunked, is_closing, client.socket.output());
     }
 
-    pub(super) fn write_reply(&mut self, key: usize, content: &[u8]) {
+    pub(super) fn write_body_chunk(&mut self, key: usize, content: &[u8]) {
         let client = self.exchanges.get(key).and_then(|exchange| exchange.client);
         let Some(client_key) = client else {
             return;
         };
         if let Some(client) = self.clients.get_mut(client_key) {
-            write_chunk(content, client.wire.output());
+            write_chunk(content, client.socket.output());
         }
         self.flush_client(client_key);
     }
 
     /// The answer of an endpoint or another region is complete.
-    pub(super) fn answer_ends(&mut self, key: usize, head: &ResponseHead) {
+    pub(super) fn on_response_end(&mut self, key: usize, head: &ResponseHead) {
         let now_ms = self.now_ms();
-        let verdict = decode_verdict(head);
-        let is_good = is_good(head, &verdict);
+        let metadata = decode_response_metadata(head);
+        let is_success = is_success(head, &metadata);
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let is_not_run = verdict.is_not_run || head.header(NOT_RUN_HEADER).is_some();
-        if is_not_run && !is_good {
-            let failure = match verdict.is_other_endpoint {
+        let is_not_run = metadata.is_not_run || head.header(NOT_RUN_HEADER).is_some();
+        if is_not_run && !is_success {
+            let failure = match metadata.is_other_endpoint {
                 true => Failure::Replaced,
                 false => Failure::Shed,
             };
-            return self.not_run(key, head, failure);
+            return self.handle_not_run(key, head, failure);
         }
-        if exchange.plan.is_stream && is_good {
+        if exchange.plan.is_stream && is_success {
             let rest = exchange.events.partial().to_vec();
             if !rest.is_empty() {
                 // Not an event, but part of the endpoint's body.
-                self.begin_reply(key, head);
-                self.write_reply(key, &rest);
+                self.write_head_once(key, head);
+                self.write_body_chunk(key, &rest);
             }
-            self.first_event(key, now_ms);
-            return self.finish_good(key, head, now_ms);
+            self.record_first_event(key, now_ms);
+            return self.finish_success(key, head, now_ms);
         }
-        if is_good {
-            self.first_event(key, now_ms);
-            return self.finish_good(key, head, now_ms);
+        if is_success {
+            self.record_first_event(key, now_ms);
+            return self.finish_success(key, head, now_ms);
         }
         let failure = if (200..300).contains(&head.status) {
             Failure::Broken
@@ -205,28 +210,28 @@
         let is_server_error = head.status >= 500 || failure == Failure::Broken;
         if is_server_error {
             self.avoid_destination(key);
-            self.end_sending(key, Some(failure), now_ms);
-            if self.repeat(key, "endpoint failed") {
+            self.end_dispatch(key, Some(failure), now_ms);
+            if self.try_retry(key, "endpoint failed") {
                 return;
             }
         } else {
-            self.end_sending(key, None, now_ms);
+            self.end_dispatch(key, None, now_ms);
         }
-        if self.exchanges[key].has_reply_begun {
+        if self.exchanges[key].has_response_begun {
             return self.cut_off(key, "endpoint failed during the answer");
         }
         if failure == Failure::Broken {
-            return self.fail(key, "unusable answer", OwnAnswer::plain(502));
+            return self.fail(key, "unusable answer", GatewayResponse::new(502));
         }
-        self.pass_on(key, head);
+        self.relay_response(key, head);
     }
 
-    pub(super) fn finish_good(&mut self, key: usize, head: &ResponseHead, now_ms: u64) {
+    pub(super) fn finish_success(&mut self, key: usize, head: &ResponseHead, now_ms: u64) {
         let sent_ms = self
             .exchanges
             .get(key)
-            .and_then(|exchange| exchange.sending.as_ref())
-            .map(|sending| sending.sent_ms);
+            .and_then(|exchange| exchange.dispatch.as_ref())
+            .map(|dispatch| dispatch.sent_ms);
         let service = self.exchanges[key].plan.service.clone();
         if let Some(sent_ms) = sent_ms {
             let is_here = matches!(
@@ -238,44 +243,44 @@
                     .learn_run(&service, now_ms.saturating_sub(sent_ms) as f64);
             }
         }
-        self.end_sending(key, None, now_ms);
-        self.pass_on(key, head);
+        self.end_dispatch(key, None, now_ms);
+        self.relay_response(key, head);
     }
 
     /// Passes on a complete answer, or the end of one that has begun.
-    pub(super) fn pass_on(&mut self, key: usize, head: &ResponseHead) {
-        let is_leaving = self.leave_started_ms.is_some();
+    pub(super) fn relay_response(&mut self, key: usize, head: &ResponseHead) {
+        let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let held = std::mem::take(&mut exchange.held);
-        let has_begun = exchange.has_reply_begun;
+        let buffered = std::mem::take(&mut exchange.buffered);
+        let has_begun = exchange.has_response_begun;
         if let Some(client) = exchange
             .client
             .and_then(|client| self.clients.get_mut(client))
         {
-            client.closes |= is_leaving;
+            client.is_closing |= is_leaving;
             if has_begun {
-                write_chunk(&held, client.wire.output());
-                write_last_chunk(client.wire.output());
+                write_chunk(&buffered, client.socket.output());
+                write_last_chunk(client.socket.output());
             } else {
-                let closes = client.closes;
-                let frame = BodyFrame::Length(held.len() as u64);
-                write_head(head, frame, closes, client.wire.output());
-                client.wire.queue(&held);
+                let is_closing = client.is_closing;
+                let frame = BodyFrame::Length(buffered.len() as u64);
+                write_response_head(head, frame, is_closing, client.socket.output());
+                client.socket.queue(&buffered);
             }
         }
         self.end_exchange(key, "answered", head.status);
     }
 
     /// The endpoint or region says that it did not run the request.
-    pub(super) fn not_run(&mut self, key: usize, head: &ResponseHead, failure: Failure) {
+    pub(super) fn handle_not_run(&mut self, key: usize, head: &ResponseHead, failure: Failure) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
         let destination = exchange.destination().cloned();
-        exchange.held.clear();
+        exchange.buffered.clear();
         let retry_ms = head
             .header("retry-after")
             .and_then(|seconds| seconds.parse::<f64>().ok())
@@ -283,7 +288,7 @@
         match destination {
             Some(Destination::Endpoint(choice)) => {
                 exchange.excluded.push(choice.endpoint.clone());
-                self.end_sending(key, Some(failure), now_ms);
+                self.end_dispatch(key, Some(failure), now_ms);
                 let service = self.exchanges[key].plan.service.clone();
                 let tries_left = self.exchanges[key].excluded.len() < MAX_EXCLUDED;
                 let hosts = self.hosts.live_count(now_ms);
@@ -294,7 +299,7 @@
             }
             Some(Destination::Region { region, .. }) => {
                 exchange.excluded_regions.push(region);
-                self.end_sending(key, None, now_ms);
+                self.end_dispatch(key, None, now_ms);
                 self.place_exchange(key);
             }
             None => {}
@@ -303,8 +308,8 @@
 }
 
 /// Whether an answer is a whole success of the endpoint.
-fn is_good(head: &ResponseHead, verdict: &Verdict) -> bool {
+fn is_success(head: &ResponseHead, metadata: &ResponseMetadata) -> bool {
     (200..300).contains(&head.status)
-        && verdict.is_sealed
+        && metadata.is_sealed
         && head.header("content-encoding").is_none()
 }
--- a/src/gateway/serve_upstream.rs
+++ b/src/gateway/serve_upstream.rs
@@ -5,8 +5,8 @@
 use super::{
     body::BodyDecoder,
     connection::{
-        Answering,
-        ReadEnd,
+        ReadState,
+        ResponseProgress,
         UpstreamPhase, //
     },
     head::{
@@ -17,15 +17,15 @@
     serve_client::MAX_OUTPUT_BYTES, //
 };
 use crate::platform::headers::{
-    Verdict,
-    decode_verdict, //
+    ResponseMetadata,
+    decode_response_metadata, //
 };
 
 /// Longest time for a connection to be made to an endpoint of the same region.
 /// The platform takes a millisecond; a lost packet is sent again after a second.
 const CONNECT_LIMIT_MS: u64 = 300;
 /// Longest time for a connection to be made to another region.
-const AWAY_CONNECT_LIMIT_MS: u64 = 700;
+const REMOTE_CONNECT_LIMIT_MS: u64 = 700;
 /// How long an idle connection is reused if the endpoint does not say.
 const DEFAULT_IDLE_MS: u64 = 1_500;
 /// Share of the idle time that an endpoint states which is used, so that a
@@ -38,7 +38,7 @@
 
 /// Why an answer did not arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breakage {
+pub enum UpstreamError {
     /// The connection could not be made, so nothing was sent.
     Unreachable,
     /// The connection broke, or what arrived is no answer.
@@ -51,14 +51,15 @@
             return;
         };
         if upstream.phase == UpstreamPhase::Connecting {
-            if event.is_error() || matches!(upstream.wire.stream.take_error(), Ok(Some(_)) | Err(_))
+            if event.is_error()
+                || matches!(upstream.socket.stream.take_error(), Ok(Some(_)) | Err(_))
             {
-                return self.upstream_broken(key, Breakage::Unreachable);
+                return self.upstream_broken(key, UpstreamError::Unreachable);
             }
             if !event.is_writable() {
                 return;
             }
-            if upstream.wire.stream.peer_addr().is_err() {
+            if upstream.socket.stream.peer_addr().is_err() {
                 return;
             }
             self.connected(key);
@@ -68,7 +69,7 @@
                 return;
             };
             // A failed write shows as a failed read, after what has arrived.
-            upstream.wire.flush();
+            upstream.socket.flush();
         }
         if event.is_readable() || event.is_read_closed() || event.is_error() {
             self.read_upstream(key);
@@ -85,7 +86,7 @@
         let exchange = upstream.exchange;
         self.record_connected(exchange, connect_ms);
         if let Some(upstream) = self.upstreams.get_mut(key) {
-            upstream.wire.flush();
+            upstream.socket.flush();
         }
     }
 
@@ -93,8 +94,8 @@
     pub(super) fn resume_reading(&mut self, exchange: Option<usize>) {
         let upstream = exchange
             .and_then(|exchange| self.exchanges.get(exchange))
-            .and_then(|exchange| exchange.sending.as_ref())
-            .map(|sending| sending.upstream);
+            .and_then(|exchange| exchange.dispatch.as_ref())
+            .map(|dispatch| dispatch.upstream);
         let Some(key) = upstream else {
             return;
         };
@@ -120,24 +121,24 @@
             .and_then(|exchange| exchange.client);
         let is_full = client
             .and_then(|client| self.clients.get(client))
-            .is_some_and(|client| client.wire.unwritten() > MAX_OUTPUT_BYTES);
+            .is_some_and(|client| client.socket.unwritten() > MAX_OUTPUT_BYTES);
         upstream.is_paused = is_full;
         if is_full {
             return;
         }
-        let end = upstream.wire.fill();
+        let read_state = upstream.socket.fill();
         if upstream.phase == UpstreamPhase::Idle {
             // Nothing was asked, so the end or any byte makes it unusable.
-            if end != ReadEnd::Open || !upstream.wire.input.is_empty() {
+            if read_state != ReadState::Open || !upstream.socket.input.is_empty() {
                 self.close_upstream(key);
             }
             return;
         }
-        self.read_answer(key, end);
+        self.read_response(key, read_state);
     }
 
     /// Reads the answer from the input as far as it has arrived.
-    fn read_answer(&mut self, key: usize, end: ReadEnd) {
+    fn read_response(&mut self, key: usize, read_state: ReadState) {
         loop {
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 return;
@@ -145,121 +146,120 @@
             if upstream.phase != UpstreamPhase::Busy {
                 return;
             }
-            if let Answering::Head = upstream.answering {
-                let parsed = parse_response(&upstream.wire.input, upstream.is_head_request);
+            if let ResponseProgress::Head = upstream.response_progress {
+                let parsed = parse_response(&upstream.socket.input, upstream.is_head_request);
                 match parsed {
                     Err(error) => {
                         tracing::debug!(address = %upstream.address, %error, "unusable answer");
-                        return self.upstream_broken(key, Breakage::Broken);
+                        return self.upstream_broken(key, UpstreamError::Broken);
                     }
-                    Ok(None) if end != ReadEnd::Open => {
-                        return self.upstream_broken(key, Breakage::Broken);
+                    Ok(None) if read_state != ReadState::Open => {
+                        return self.upstream_broken(key, UpstreamError::Broken);
                     }
                     Ok(None) => return,
                     Ok(Some((head, length))) => {
-                        upstream.wire.input.drain(..length);
+                        upstream.socket.input.drain(..length);
                         if (100..200).contains(&head.status) {
                             continue;
                         }
-                        self.begin_answer(key, head);
+                        self.begin_response(key, head);
                         continue;
                     }
                 }
             }
-            if !self.read_content(key, end) {
+            if !self.read_response_body(key, read_state) {
                 return;
             }
         }
     }
 
-    fn begin_answer(&mut self, key: usize, head: ResponseHead) {
-        let verdict = decode_verdict(&head);
+    fn begin_response(&mut self, key: usize, head: ResponseHead) {
+        let metadata = decode_response_metadata(&head);
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
         let exchange = upstream.exchange;
-        let is_foreign = match exchange.and_then(|exchange| self.exchanges.get(exchange)) {
-            Some(exchange) => is_foreign(
-                &verdict,
+        let is_stale = match exchange.and_then(|exchange| self.exchanges.get(exchange)) {
+            Some(exchange) => is_stale(
+                &metadata,
                 &exchange.request.call.attempt,
                 upstream.request_count,
             ),
             None => false,
         };
         let decoder = BodyDecoder::new(head.framing);
-        upstream.answering = Answering::Body {
+        upstream.response_progress = ResponseProgress::Body {
             head: Box::new(head.clone()),
             decoder,
-            is_foreign,
+            is_stale,
         };
-        if is_foreign {
+        if is_stale {
             tracing::info!(
                 address = %upstream.address,
-                attempt = ?verdict.attempt,
+                attempt = ?metadata.attempt,
                 "answer to an earlier request dropped"
             );
         } else if let Some(exchange) = exchange {
-            self.answer_begins(exchange, &head, &verdict);
+            self.on_response_head(exchange, &head, &metadata);
         }
     }
 
     /// Reads content; false if nothing more can be done now.
-    fn read_content(&mut self, key: usize, end: ReadEnd) -> bool {
+    fn read_response_body(&mut self, key: usize, read_state: ReadState) -> bool {
         let mut content = Vec::new();
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return false;
         };
-        let Answering::Body {
-            decoder,
-            is_foreign,
-            ..
-        } = &mut upstream.answering
+        let ResponseProgress::Body {
+            decoder, is_stale, ..
+        } = &mut upstream.response_progress
         else {
             return false;
         };
-        let is_foreign = *is_foreign;
-        let Ok(used) = decoder.decode(&upstream.wire.input, &mut content) else {
-            self.upstream_broken(key, Breakage::Broken);
+        let is_stale = *is_stale;
+        let Ok(used) = decoder.decode(&upstream.socket.input, &mut content) else {
+            self.upstream_broken(key, UpstreamError::Broken);
             return false;
         };
-        upstream.wire.input.drain(..used);
+        upstream.socket.input.drain(..used);
         let ends_with_connection =
-            matches!(decoder, BodyDecoder::UntilClose) && end == ReadEnd::Closed;
+            matches!(decoder, BodyDecoder::UntilClose) && read_state == ReadState::Closed;
         let is_done = decoder.is_done() || ends_with_connection;
         let exchange = upstream.exchange;
-        if is_foreign && is_done {
-            upstream.answering = Answering::Head;
-            upstream.is_tainted = true;
+        if is_stale && is_done {
+            upstream.response_progress = ResponseProgress::Head;
+            upstream.had_stale_response = true;
             return true;
         }
-        if let Some(exchange) = exchange.filter(|_| !is_foreign && !content.is_empty()) {
-            self.answer_continues(exchange, &content);
+        if let Some(exchange) = exchange.filter(|_| !is_stale && !content.is_empty()) {
+            self.on_response_body(exchange, &content);
         }
         if is_done {
-            self.answer_complete(key);
+            self.complete_response(key);
             return false;
         }
-        if end != ReadEnd::Open {
-            self.upstream_broken(key, Breakage::Broken);
+        if read_state != ReadState::Open {
+            self.upstream_broken(key, UpstreamError::Broken);
         }
         false
     }
 
     /// The answer has arrived whole; the connection may serve another request.
-    fn answer_complete(&mut self, key: usize) {
+    fn complete_response(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
         let exchange = upstream.exchange.take();
-        let answering = std::mem::replace(&mut upstream.answering, Answering::Head);
-        let Answering::Body { head, .. } = answering else {
+        let response_progress =
+            std::mem::replace(&mut upstream.response_progress, ResponseProgress::Head);
+        let ResponseProgress::Body { head, .. } = response_progress else {
             return;
         };
-        let is_reusable = head.keeps_open
-            && !upstream.is_tainted
-            && upstream.wire.input.is_empty()
-            && upstream.wire.unwritten() == 0
+        let is_reusable = head.is_keep_alive
+            && !upstream.had_stale_response
+            && upstream.socket.input.is_empty()
+            && upstream.socket.unwritten() == 0
             && head.framing != super::head::Framing::UntilClose;
         if is_reusable {
             let idle_ms = if upstream.is_peer {
@@ -269,8 +269,8 @@
             };
             upstream.phase = UpstreamPhase::Idle;
             upstream.since_ms = now_ms;
-            upstream.idle_limit_ms = now_ms + idle_ms;
-            upstream.wire.shrink();
+            upstream.idle_deadline_ms = now_ms + idle_ms;
+            upstream.socket.shrink();
             let address = upstream.address;
             let idle = self.idle.entry(address).or_default();
             idle.push(key);
@@ -282,7 +282,7 @@
             self.close_upstream(key);
         }
         if let Some(exchange) = exchange {
-            self.answer_ends(exchange, &head);
+            self.on_response_end(exchange, &head);
         }
     }
 
@@ -297,7 +297,7 @@
             let is_usable = self
                 .upstreams
                 .get(key)
-                .is_some_and(|upstream| now_ms < upstream.idle_limit_ms);
+                .is_some_and(|upstream| now_ms < upstream.idle_deadline_ms);
             if is_usable {
                 return Some(key);
             }
@@ -314,7 +314,7 @@
             return;
         };
         // Deregistration also happens when the socket is closed.
-        let _ = self.poll.registry().deregister(&mut upstream.wire.stream);
+        let _ = self.poll.registry().deregister(&mut upstream.socket.stream);
         if let Some(idle) = self.idle.get_mut(&upstream.address) {
             idle.retain(|other| *other != key);
             if idle.is_empty() {
@@ -324,14 +324,14 @@
     }
 
     /// Ends a connection and tells its exchange.
-    pub(super) fn upstream_broken(&mut self, key: usize, breakage: Breakage) {
+    pub(super) fn upstream_broken(&mut self, key: usize, error: UpstreamError) {
         let exchange = self
             .upstreams
             .get(key)
             .and_then(|upstream| upstream.exchange);
         self.close_upstream(key);
         if let Some(exchange) = exchange {
-            self.sending_failed(exchange, breakage);
+            self.dispatch_failed(exchange, error);
         }
     }
 
@@ -342,7 +342,7 @@
             .iter()
             .filter(|(_, upstream)| {
                 let limit_ms = if upstream.is_peer {
-                    AWAY_CONNECT_LIMIT_MS
+                    REMOTE_CONNECT_LIMIT_MS
                 } else {
                     CONNECT_LIMIT_MS
                 };
@@ -352,7 +352,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in late {
-            self.upstream_broken(key, Breakage::Unreachable);
+            self.upstream_broken(key, UpstreamError::Unreachable);
         }
     }
 }
@@ -361,8 +361,8 @@
 ///
 /// An answer without an id is accepted only as the first one on a connection:
 /// later ones may be left over from the request before.
-fn is_foreign(verdict: &Verdict, attempt: &str, request_count: u32) -> bool {
-    match &verdict.attempt {
+fn is_stale(metadata: &ResponseMetadata, attempt: &str, request_count: u32) -> bool {
+    match &metadata.attempt {
         Some(answered) => answered != attempt,
         None => request_count > 1,
     }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -51,7 +51,7 @@
 use crate::logs;
 
 /// Updates that wait for the reactor: a whole region of endpoints at once.
-const UPDATE_RING: usize = 1_024;
+const UPDATE_QUEUE_LEN: usize = 1_024;
 /// Exit code when requests were cut off at the end.
 const EXIT_CUT_OFF: u8 = 3;
 /// Interval at which the settings file is compared with what was read from it.
@@ -65,15 +65,15 @@
     let settings = GatewaySettings::load(path)?;
     let (_log_thread, dropped_lines) = logs::init_json(&settings.log_filter)?;
     let telemetry = Telemetry::new().with_log_thread(dropped_lines);
-    let (sender, updates) = bounded(UPDATE_RING);
+    let (sender, updates) = bounded(UPDATE_QUEUE_LEN);
     let reread: PathBuf = path.to_path_buf();
     let mut reactor = Reactor::new(settings.clone(), updates, telemetry)
         .context("could not open the sockets")?
         .with_reload(Box::new(move || reload(&reread)));
     let updates = UpdateSender::new(sender, reactor.waker()?);
     let belief = Belief::new(updates.clone());
-    let (behind, asked) = bounded(1);
-    reactor.set_belief(belief.clone(), behind);
+    let (resync_requests, asked) = bounded(1);
+    reactor.set_belief(belief.clone(), resync_requests);
     let is_stopping = Arc::new(AtomicBool::new(false));
     tracing::info!(
         host = %settings.host.name,
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Default)]
-struct LineGate {
+struct LineLimiter {
     second: u64,
     used: u32,
 }
@@ -46,16 +46,16 @@
 pub struct Telemetry {
     registry: Registry,
     requests: Family<OutcomeLabels, Counter>,
-    repeats: Counter,
+    retries: Counter,
     connections: Counter,
-    away: Counter,
+    remote: Counter,
     omitted_lines: Counter,
     dropped_lines: Gauge,
     log_thread: Option<ErrorCounter>,
     first_event_s: Histogram,
     duration_s: Histogram,
-    routine: LineGate,
-    failures: LineGate,
+    routine: LineLimiter,
+    failures: LineLimiter,
 }
 
 impl Telemetry {
@@ -64,16 +64,16 @@
         let mut registry = Registry::with_prefix("cardamombridge");
         let telemetry = Self {
             requests: Family::default(),
-            repeats: Counter::default(),
+            retries: Counter::default(),
             connections: Counter::default(),
-            away: Counter::default(),
+            remote: Counter::default(),
             omitted_lines: Counter::default(),
             dropped_lines: Gauge::default(),
             log_thread: None,
             first_event_s: Histogram::new(BUCKETS_S),
             duration_s: Histogram::new(BUCKETS_S),
-            routine: LineGate::default(),
-            failures: LineGate::default(),
+            routine: LineLimiter::default(),
+            failures: LineLimiter::default(),
             registry: Registry::default(),
         };
         registry.register(
@@ -84,7 +84,7 @@
         registry.register(
             "repeats",
             "Requests sent to a second endpoint",
-            telemetry.repeats.clone(),
+            telemetry.retries.clone(),
         );
         registry.register(
             "endpoint_connections",
@@ -94,7 +94,7 @@
         registry.register(
             "away",
             "Requests sent to another region",
-            telemetry.away.clone(),
+            telemetry.remote.clone(),
         );
         registry.register(
             "omitted_log_lines",
@@ -144,8 +144,8 @@
     }
 
     /// Counts a request that is sent to a second endpoint.
-    pub fn count_repeat(&self) {
-        self.repeats.inc();
+    pub fn count_retry(&self) {
+        self.retries.inc();
     }
 
     /// Counts a connection to an endpoint or a host.
@@ -154,8 +154,8 @@
     }
 
     /// Counts a request that is sent to another region.
-    pub fn count_away(&self) {
-        self.away.inc();
+    pub fn count_remote(&self) {
+        self.remote.inc();
     }
 
     /// Records the time until the first event or the answer.
@@ -180,11 +180,11 @@
             .inc();
         self.duration_s.observe(total_ms as f64 / 1_000.0);
         let is_routine = (200..300).contains(&status);
-        let gate = match is_routine {
+        let is_within_limit = match is_routine {
             true => self.routine.admit(ROUTINE_LINES_PER_S, now_ms),
             false => self.failures.admit(FAILURE_LINES_PER_S, now_ms),
         };
-        if !gate {
+        if !is_within_limit {
             self.omitted_lines.inc();
             return;
         }
@@ -196,26 +196,26 @@
             is_forwarded = exchange.is_forwarded,
             runs = exchange.run_count,
             tried = ?exchange.excluded,
-            events = exchange.events.whole_count(),
+            events = exchange.events.complete_count(),
             prompt_tokens = exchange.request.call.prompt.0,
             shared_tokens = exchange.request.call.shared_tokens(),
             shared_part = exchange.request.call.affinity(),
             goal_ms = exchange.plan.goal_ms,
-            destination = exchange.placed.as_ref().map(|placed| placed.destination.as_str()),
+            destination = exchange.placement.as_ref().map(|placement| placement.destination.as_str()),
             waited_ms = exchange
-                .placed
+                .placement
                 .as_ref()
-                .map(|placed| placed.sent_ms.saturating_sub(exchange.arrived_ms)),
-            predicted_ms = exchange.placed.as_ref().map(|placed| placed.predicted_ms),
-            backlog_ms = exchange.placed.as_ref().map(|placed| placed.backlog_ms),
-            uncached_tokens = exchange.placed.as_ref().map(|placed| placed.uncached_tokens),
+                .map(|placement| placement.sent_ms.saturating_sub(exchange.arrived_ms)),
+            predicted_ms = exchange.placement.as_ref().map(|placement| placement.predicted_ms),
+            backlog_ms = exchange.placement.as_ref().map(|placement| placement.backlog_ms),
+            uncached_tokens = exchange.placement.as_ref().map(|placement| placement.uncached_tokens),
             first_event_ms = exchange
                 .first_event_at_ms
                 .map(|at_ms| at_ms.saturating_sub(exchange.arrived_ms)),
-            here_ms = exchange.refused.and_then(|refused| refused.here_ms),
-            queue_ms = exchange.refused.map(|refused| refused.queue_ms),
-            away_ms = exchange.refused.and_then(|refused| refused.away_ms),
-            retry_ms = exchange.refused.map(|refused| refused.retry_ms),
+            here_ms = exchange.refusal.and_then(|refusal| refusal.here_ms),
+            queue_ms = exchange.refusal.map(|refusal| refusal.queue_ms),
+            away_ms = exchange.refusal.and_then(|refusal| refusal.away_ms),
+            retry_ms = exchange.refusal.map(|refusal| refusal.retry_ms),
             total_ms,
             outcome,
             status,
@@ -230,7 +230,7 @@
     }
 }
 
-impl LineGate {
+impl LineLimiter {
     fn admit(&mut self, per_second: u32, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if second != self.second {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -144,7 +144,7 @@
 
 /// What an endpoint says about itself and a request in the head of an answer.
 #[derive(Debug, Clone, Default)]
-pub struct Verdict {
+pub struct ResponseMetadata {
     /// The attempt that the answer belongs to, if the answer names one.
     pub attempt: Option<CompactString>,
     /// The endpoint signed the answer.
@@ -160,29 +160,29 @@
 }
 
 /// Reads the platform's headers of an endpoint's answer.
-pub fn decode_verdict(head: &ResponseHead) -> Verdict {
-    let mut verdict = Verdict {
+pub fn decode_response_metadata(head: &ResponseHead) -> ResponseMetadata {
+    let mut metadata = ResponseMetadata {
         is_not_run: head.status == 421,
         is_other_endpoint: head.status == 421,
-        ..Verdict::default()
+        ..ResponseMetadata::default()
     };
     for header in &head.headers {
         let Some(value) = header.text() else {
             continue;
         };
         if header.is(ATTEMPT_ID) {
-            verdict.attempt = Some(value.into());
+            metadata.attempt = Some(value.into());
         } else if header.is(SEAL) {
-            verdict.is_sealed = !value.is_empty();
+            metadata.is_sealed = !value.is_empty();
         } else if header.is(NOT_RUN) {
-            verdict.is_not_run = true;
+            metadata.is_not_run = true;
         } else if header.is(LOAD) {
-            verdict.load = decode_load(value);
+            metadata.load = decode_load(value);
         } else if header.is(COLD_LEFT) {
-            verdict.cold_left_ms = value.parse().ok();
+            metadata.cold_left_ms = value.parse().ok();
         }
     }
-    verdict
+    metadata
 }
 
 fn decode_load(value: &str) -> Option<EndpointLoad> {
--- a/src/platform/items.rs
+++ b/src/platform/items.rs
@@ -40,7 +40,7 @@
     Json(#[from] serde_json::Error),
     /// A word that the platform does not define.
     #[error("unknown {field} {value:?}")]
-    UnknownWord {
+    UnknownValue {
         /// The field.
         field: &'static str,
         /// Its value.
@@ -141,8 +141,8 @@
         limits: CallerLimits {
             max_head_bytes: wire.limits.max_header_bytes,
             max_body_bytes: wire.limits.max_body_bytes,
-            head_timeout_ms: whole_ms(wire.limits.header_timeout_ms),
-            idle_timeout_ms: whole_ms(wire.limits.idle_timeout_ms),
+            head_timeout_ms: ceil_ms(wire.limits.header_timeout_ms),
+            idle_timeout_ms: ceil_ms(wire.limits.idle_timeout_ms),
         },
     })
 }
@@ -154,7 +154,7 @@
         "streaming" if wire.resumable => Repeat::Resume,
         "streaming" => Repeat::Never,
         _ => {
-            return Err(ItemError::UnknownWord {
+            return Err(ItemError::UnknownValue {
                 field: "kind",
                 value: wire.kind,
             });
@@ -168,7 +168,7 @@
         service: share.backend,
         weight: share.weight,
     });
-    let timeout_ms = whole_ms(wire.timeout_ms);
+    let timeout_ms = ceil_ms(wire.timeout_ms);
     Ok(Route {
         is_stream: wire.kind == "streaming",
         name: wire.name,
@@ -176,7 +176,7 @@
         prefix: wire.prefix,
         repeat,
         timeout_ms,
-        goal_ms: wire.goal_ms.map_or(timeout_ms, whole_ms),
+        goal_ms: wire.goal_ms.map_or(timeout_ms, ceil_ms),
         max_attempts: wire.max_attempts.unwrap_or(1).max(1),
         priority: wire.prio,
         targets: whole.into_iter().chain(shares).collect(),
@@ -187,7 +187,7 @@
 fn decode_service(wire: WireService) -> Service {
     Service {
         name: wire.name,
-        cold_ms: whole_ms(wire.cold_s * 1_000.0),
+        cold_ms: ceil_ms(wire.cold_s * 1_000.0),
         cold_per_s: wire.cold_per_s,
         engine: wire.engine.map(|engine| Engine {
             slots: engine.slots,
@@ -210,7 +210,7 @@
         "ready" => Stage::Ready,
         "draining" => Stage::Draining,
         _ => {
-            return Err(ItemError::UnknownWord {
+            return Err(ItemError::UnknownValue {
                 field: "state",
                 value: wire.state,
             });
@@ -222,13 +222,13 @@
         data_centre: wire.zone,
         slots: wire.slots.max(1),
         stage,
-        cold_left_ms: whole_ms(wire.cold_left_ms),
-        remaining_ms: wire.remaining_ms.map(whole_ms),
+        cold_left_ms: ceil_ms(wire.cold_left_ms),
+        remaining_ms: wire.remaining_ms.map(ceil_ms),
         started_ms: wire.born,
     })
 }
 
 /// Rounds a duration up to whole milliseconds; negative ones count as none.
-fn whole_ms(ms: f64) -> u64 {
+fn ceil_ms(ms: f64) -> u64 {
     ms.ceil().max(0.0) as u64
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -46,7 +46,7 @@
     Unreadable(#[from] serde_json::Error),
     /// The history after the revision is gone.
     #[error("the history after that revision is gone")]
-    HistoryGone,
+    HistoryDropped,
     /// The lease has ended.
     #[error("the lease has ended")]
     LeaseEnded,
@@ -234,7 +234,7 @@
         match answer.status().as_u16() {
             200..=299 => {}
             404 => return Err(StoreError::LeaseEnded),
-            410 => return Err(StoreError::HistoryGone),
+            410 => return Err(StoreError::HistoryDropped),
             status => return Err(StoreError::Refused(status)),
         }
         let mut bytes = Vec::new();
--- a/tests/gateway_messages.rs
+++ b/tests/gateway_messages.rs
@@ -36,7 +36,7 @@
         assert_eq!(refusal(text), Some(HeadError::Malformed), "{text:?}");
     }
     let coded = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n";
-    assert_eq!(refusal(coded), Some(HeadError::Coding));
+    assert_eq!(refusal(coded), Some(HeadError::UnsupportedCoding));
 }
 
 /// Guards against heads without an end that fill the memory.
