--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -16,8 +16,8 @@
 use super::{
     configuration::Service,
     request::{
-        Call,
         EndpointLoad, //
+        RequestMetadata,
     },
     sharing::SentPrompt, //
 };
@@ -344,7 +344,7 @@
     }
 
     /// Remembers which parts of a prompt the endpoint has read at `read_at_ms`.
-    pub fn remember(&mut self, call: &Call, read_at_ms: u64) {
+    pub fn remember(&mut self, call: &RequestMetadata, read_at_ms: u64) {
         for part in &call.parts {
             self.remember_part(part.id, read_at_ms);
         }
@@ -399,7 +399,7 @@
     /// there until requests have taken `lifetime_tokens` more.
     /// Parts that it only reads until `by_ms` count as well: it reads prompts in
     /// the order of their arrival.
-    pub fn cached_tokens(&self, call: &Call, lifetime_tokens: u64, by_ms: u64) -> u64 {
+    pub fn cached_tokens(&self, call: &RequestMetadata, lifetime_tokens: u64, by_ms: u64) -> u64 {
         let is_cached = |id: &u64| {
             self.parts.get(id).is_some_and(|known| {
                 known.read_at_ms <= by_ms
@@ -440,12 +440,12 @@
 
 impl Work {
     /// The work of `call` at an endpoint that has cached the first tokens.
-    pub fn new(call: &Call, cached_tokens: u64) -> Self {
-        let prompt = call.prompt.0;
+    pub fn new(call: &RequestMetadata, cached_tokens: u64) -> Self {
+        let prompt = call.prompt_tokens.0;
         let uncached_tokens = prompt.saturating_sub(cached_tokens);
         Self {
             uncached_tokens,
-            held_tokens: uncached_tokens + call.max_output.0,
+            held_tokens: uncached_tokens + call.max_output_tokens.0,
         }
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -20,14 +20,14 @@
     events::EventSplitter,
     fleet::Choice,
     head::RequestHead,
-    request::Call, //
+    request::RequestMetadata, //
 };
 
 /// What a route says about a request, as it is told to another region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Plan {
-    /// Route.
-    pub route: CompactString,
+pub struct ResolvedRoute {
+    /// Name of the route.
+    pub name: CompactString,
     /// Service.
     pub service: CompactString,
     /// The answer is a series of events.
@@ -48,11 +48,11 @@
     pub homes: Vec<CompactString>,
 }
 
-impl Plan {
+impl ResolvedRoute {
     /// The plan for a request on `route` that goes to `service`.
     pub fn new(route: &Route, service: CompactString) -> Self {
         Self {
-            route: route.name.clone(),
+            name: route.name.clone(),
             service,
             is_stream: route.is_stream,
             is_idempotent: route.repeat == Repeat::Idempotent,
@@ -99,7 +99,7 @@
     /// Head.
     pub head: RequestHead,
     /// What the head says about the call.
-    pub call: Call,
+    pub metadata: RequestMetadata,
     /// Body without transfer coding.
     pub body: Vec<u8>,
 }
@@ -176,7 +176,7 @@
     /// The request; shared so that it can be written while the exchange changes.
     pub request: Rc<CallerRequest>,
     /// What its route says.
-    pub plan: Plan,
+    pub route: ResolvedRoute,
     /// Version of the configuration that gave the plan.
     pub configuration_version: u64,
     /// When the request had arrived completely.
@@ -215,7 +215,7 @@
     /// Event after which an endpoint has to go on.
     pub fn resume_after(&self) -> Option<CompactString> {
         let passed_on = self.events.last_id().cloned();
-        passed_on.or_else(|| self.request.call.last_event.clone())
+        passed_on.or_else(|| self.request.metadata.last_event_id.clone())
     }
 
     /// Where the request is.
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -30,7 +30,7 @@
         slots_of, //
     },
     hosts::RegionView,
-    request::Call,
+    request::RequestMetadata,
     sharing::{
         EndpointBlock,
         SentPrompt, //
@@ -111,7 +111,7 @@
     /// Its service.
     pub service: &'a Service,
     /// What the caller said.
-    pub call: &'a Call,
+    pub call: &'a RequestMetadata,
     /// Endpoints that are not tried.
     pub excluded: &'a [CompactString],
     /// The hosts of the region.
@@ -189,7 +189,7 @@
         return 0.0;
     }
     let read_share = endpoint.read_share(token_ms, now_ms).min(MAX_READ_SHARE);
-    let tokens = demand.call.max_output.0 as f64;
+    let tokens = demand.call.max_output_tokens.0 as f64;
     let stream_ms = endpoint.slowness() * tokens * STEP_MS / (1.0 - read_share);
     let is_overrun = choice.first_event_ms + stream_ms > demand.time_left_ms;
     let overrun_ms = if is_overrun { OVERRUN_COST_MS } else { 0.0 };
@@ -198,7 +198,7 @@
 
 /// Tokens that an endpoint has cached, from knowledge or, at the endpoint that
 /// all hosts prefer, from what they probably sent there.
-fn expected_cached(known: u64, call: &Call, is_preferred: bool) -> u64 {
+fn expected_cached(known: u64, call: &RequestMetadata, is_preferred: bool) -> u64 {
     if !is_preferred {
         return known;
     }
@@ -461,7 +461,7 @@
     /// Where the start of the prompt is probably cached.
     fn caches(&self, demand: &Demand<'_>, now_ms: u64) -> Caches {
         let service = demand.service;
-        let affinity = demand.call.affinity();
+        let affinity = demand.call.affinity_key();
         let preferred = affinity.and_then(|part| self.preferred(&service.name, part, now_ms));
         let memory_tokens = service.engine.map_or(0, |engine| engine.memory_tokens);
         let lifetime_tokens = (memory_tokens as f64 * CACHE_SHARE) as u64;
@@ -500,23 +500,23 @@
         now_ms: u64,
     ) -> f64 {
         let call = demand.call;
-        let is_known = call.affinity().is_some_and(|part| {
+        let is_known = call.affinity_key().is_some_and(|part| {
             let sent_ms = self.away_parts.get(&(region.into(), part));
             sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + AWAY_CACHE_MS)
         });
         let cached = if is_known { call.shared_tokens() } else { 0 };
-        let uncached_tokens = call.prompt.0.saturating_sub(cached);
+        let uncached_tokens = call.prompt_tokens.0.saturating_sub(cached);
         let read_ms = uncached_tokens as f64 * self.mean_token_ms(demand.service, now_ms);
         AWAY_COST_MS + READ_WEIGHT * read_ms + wait_cost(first_event_ms, demand.goal_left_ms)
     }
 
     /// Remembers that a request was sent to another region.
-    pub fn remember_away(&mut self, region: &str, call: &Call, now_ms: u64) {
+    pub fn remember_away(&mut self, region: &str, call: &RequestMetadata, now_ms: u64) {
         if self.away_parts.len() > MAX_AWAY_PARTS {
             self.away_parts
                 .retain(|_, sent_ms| now_ms < *sent_ms + AWAY_CACHE_MS);
         }
-        if let Some(part) = call.affinity() {
+        if let Some(part) = call.affinity_key() {
             self.away_parts.insert((region.into(), part), now_ms);
         }
     }
@@ -606,7 +606,7 @@
     pub fn backlog_ms(&self, endpoint: &Endpoint, service: &Service, now_ms: u64) -> f64 {
         let demand = Demand {
             service,
-            call: &Call::default(),
+            call: &RequestMetadata::default(),
             excluded: &[],
             region: &RegionView::default(),
             goal_left_ms: 0.0,
@@ -628,9 +628,11 @@
     }
 
     /// Time that an endpoint spends on a request before it can begin the next.
-    pub fn service_ms(&self, service: &Service, call: &Call, now_ms: u64) -> f64 {
+    pub fn service_ms(&self, service: &Service, call: &RequestMetadata, now_ms: u64) -> f64 {
         match service.engine {
-            Some(_) => FIRST_EVENT_MS + call.prompt.0 as f64 * self.mean_token_ms(service, now_ms),
+            Some(_) => {
+                FIRST_EVENT_MS + call.prompt_tokens.0 as f64 * self.mean_token_ms(service, now_ms)
+            }
             None => self.run_ms(service) / 2.0,
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -26,24 +26,24 @@
 
 /// What a caller says about one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Call {
+pub struct RequestMetadata {
     /// Identity of the attempt; every retry of a caller has its own.
-    pub attempt: CompactString,
+    pub attempt_id: CompactString,
     /// How long the caller will wait.
     pub time_limit_ms: Option<u64>,
     /// Model, empty for plain services.
     pub model: CompactString,
     /// Length of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Most tokens that may be generated.
-    pub max_output: Tokens,
+    pub max_output_tokens: Tokens,
     /// Parts of the prompt in order; the last one is the caller's own.
     pub parts: Vec<PromptPart>,
     /// Event after which the caller resumes a stream.
-    pub last_event: Option<CompactString>,
+    pub last_event_id: Option<CompactString>,
 }
 
-impl Call {
+impl RequestMetadata {
     /// The parts that other requests may share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let count = self.parts.len().saturating_sub(1);
@@ -56,7 +56,7 @@
     }
 
     /// The last part that other requests share: the key for cache affinity.
-    pub fn affinity(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         self.shared_parts().last().map(|part| part.id)
     }
 }
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_client.rs
@@ -13,7 +13,7 @@
     },
     exchange::{
         CallerRequest,
-        Plan, //
+        ResolvedRoute, //
     },
     head::{
         HeadError,
@@ -34,8 +34,8 @@
 use crate::platform::headers::{
     DIRECTORY_PATH,
     READY_PATH,
-    decode_call,
     decode_directory_query,
+    decode_request_metadata,
     encode_directory_answer, //
 };
 
@@ -133,8 +133,8 @@
         match client.role {
             Role::Caller => self.route_request(key, head, body, None),
             Role::Peer if head.path() == NEWS_PATH => self.answer_news(key, head.query()),
-            Role::Peer => match head.header(FORWARD_HEADER).and_then(Plan::decode) {
-                Some(plan) => self.route_request(key, head, body, Some(plan)),
+            Role::Peer => match head.header(FORWARD_HEADER).and_then(ResolvedRoute::decode) {
+                Some(route) => self.route_request(key, head, body, Some(route)),
                 None => self.respond(key, GatewayResponse::new(400)),
             },
             Role::Directory => self.handle_directory(key, &head),
@@ -150,35 +150,35 @@
         key: usize,
         head: RequestHead,
         body: Vec<u8>,
-        forwarded: Option<Plan>,
+        forwarded: Option<ResolvedRoute>,
     ) {
         let now_ms = self.now_ms();
-        let call = decode_call(&head.headers);
+        let metadata = decode_request_metadata(&head.headers);
         let is_forwarded = forwarded.is_some();
         if self.is_refusing_new(now_ms) {
-            return self.refuse_unrouted(key, &call.attempt, "leaving", LEAVING_RETRY_MS);
+            return self.refuse_unrouted(key, &metadata.attempt_id, "leaving", LEAVING_RETRY_MS);
         }
         let Some(configuration) = self.configuration.clone() else {
             return self.refuse_unrouted(
                 key,
-                &call.attempt,
+                &metadata.attempt_id,
                 "no configuration",
                 NOT_READY_RETRY_MS,
             );
         };
-        let plan = match forwarded {
-            Some(plan) => plan,
+        let route = match forwarded {
+            Some(route) => route,
             None => {
                 let host = head.header("host").unwrap_or_default();
-                let route = configuration.route(host, head.path());
+                let configured = configuration.route(host, head.path());
                 let draw = self.draw();
-                let planned = route.and_then(|route| {
+                let resolved = configured.and_then(|route| {
                     let service = route.pick_service(draw)?;
-                    Some(Plan::new(route, service.clone()))
+                    Some(ResolvedRoute::new(route, service.clone()))
                 });
-                let Some(plan) = planned else {
+                let Some(route) = resolved else {
                     tracing::info!(
-                        request = %call.attempt,
+                        request = %metadata.attempt_id,
                         configuration = configuration.version,
                         outcome = "no route",
                         status = 404,
@@ -186,11 +186,15 @@
                     );
                     return self.respond(key, GatewayResponse::new(404));
                 };
-                plan
+                route
             }
         };
-        let request = CallerRequest { head, call, body };
-        self.start_exchange(key, request, plan, configuration.version, is_forwarded);
+        let request = CallerRequest {
+            head,
+            metadata,
+            body,
+        };
+        self.start_exchange(key, request, route, configuration.version, is_forwarded);
     }
 
     fn refuse_unrouted(&mut self, key: usize, attempt: &str, cause: &str, retry_ms: u64) {
--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -96,15 +96,15 @@
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return false;
         };
-        let is_retryable = exchange.plan.is_retryable()
+        let is_retryable = exchange.route.is_retryable()
             && exchange.client.is_some()
-            && exchange.run_count < exchange.plan.max_attempts
+            && exchange.run_count < exchange.route.max_attempts
             && now_ms < exchange.deadline_ms;
         if !is_retryable {
             return false;
         }
-        let service = exchange.plan.service.clone();
-        let attempt = exchange.request.call.attempt.clone();
+        let service = exchange.route.service.clone();
+        let attempt = exchange.request.metadata.attempt_id.clone();
         let is_allowed = self.budget.take(&service, hosts, now_ms);
         tracing::info!(request = %attempt, cause, is_allowed, "repeat decided");
         if is_allowed {
@@ -233,7 +233,7 @@
         };
         exchange.client = None;
         let dispatch = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
-        if exchange.plan.runs_without_caller() && dispatch.is_some() {
+        if exchange.route.runs_without_caller() && dispatch.is_some() {
             return;
         }
         self.end_dispatch(key, None, now_ms);
@@ -273,7 +273,7 @@
         let Some(dispatch) = exchange.dispatch.clone() else {
             return self.refuse(key, "no endpoint in time", UNREACHABLE_RETRY_MS);
         };
-        let runs_on = exchange.plan.runs_without_caller();
+        let runs_on = exchange.route.runs_without_caller();
         self.end_dispatch(key, None, now_ms);
         if !runs_on {
             self.close_upstream(dispatch.upstream);
@@ -295,13 +295,13 @@
         let Some(dispatch) = exchange.dispatch.clone() else {
             return;
         };
-        let service = exchange.plan.service.clone();
+        let service = exchange.route.service.clone();
         if !self.budget.take(&service, hosts, now_ms) {
             return;
         }
         let exchange = &mut self.exchanges[key];
         tracing::info!(
-            request = %exchange.request.call.attempt,
+            request = %exchange.request.metadata.attempt_id,
             silent_ms = now_ms.saturating_sub(dispatch.progress_ms),
             "endpoint stalls; request repeated"
         );
@@ -319,9 +319,9 @@
     let Some(dispatch) = &exchange.dispatch else {
         return false;
     };
-    let is_retryable = exchange.plan.is_retryable()
+    let is_retryable = exchange.route.is_retryable()
         && exchange.client.is_some()
-        && exchange.run_count + 1 < exchange.plan.max_attempts;
+        && exchange.run_count + 1 < exchange.route.max_attempts;
     let limit_ms = match &dispatch.destination {
         Destination::Region { .. } => REMOTE_STALL_MS,
         Destination::Endpoint(_) if dispatch.has_begun => MIN_STALL_MS,
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -47,18 +47,18 @@
             return;
         };
         endpoint.start(choice.work, now_ms);
-        let call = &exchange.request.call;
-        endpoint.remember(call, now_ms + choice.first_event_ms as u64);
+        let metadata = &exchange.request.metadata;
+        endpoint.remember(metadata, now_ms + choice.first_event_ms as u64);
         self.pending_update
-            .record_send(&choice, endpoint.hash, call);
+            .record_send(&choice, endpoint.hash, metadata);
         let headers = EndpointHeaders {
             endpoint: Some(choice.endpoint.clone()),
             time_left_ms: exchange.deadline_ms.saturating_sub(now_ms).max(1),
             priority: exchange
-                .plan
+                .route
                 .priority
-                .filter(|_| !exchange.request.call.parts.is_empty()),
-            last_event: self.resume_header(key),
+                .filter(|_| !exchange.request.metadata.parts.is_empty()),
+            last_event_id: self.resume_header(key),
             fetch_from: choice.fetch_from,
         };
         self.exchanges[key].placement = Some(PlacementRecord {
@@ -69,7 +69,7 @@
             sent_ms: now_ms,
         });
         tracing::debug!(
-            request = %self.exchanges[key].request.call.attempt,
+            request = %self.exchanges[key].request.metadata.attempt_id,
             endpoint = %choice.endpoint,
             predicted_ms = choice.first_event_ms as u64,
             backlog_ms = choice.backlog_ms as u64,
@@ -87,13 +87,13 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        let mut plan = exchange.plan.clone();
+        let mut route = exchange.route.clone();
         // Repeats are decided here alone, so that two regions cannot both use
         // up the attempts.
-        plan.max_attempts = 1;
-        plan.goal_ms = exchange.goal_at_ms.saturating_sub(now_ms);
-        plan.timeout_ms = exchange.deadline_ms.saturating_sub(now_ms);
-        let encoded = match plan.encode() {
+        route.max_attempts = 1;
+        route.goal_ms = exchange.goal_at_ms.saturating_sub(now_ms);
+        route.timeout_ms = exchange.deadline_ms.saturating_sub(now_ms);
+        let encoded = match route.encode() {
             Ok(encoded) => encoded,
             Err(error) => {
                 tracing::error!(%error, "could not encode a plan");
@@ -104,12 +104,12 @@
             endpoint: None,
             time_left_ms: exchange.deadline_ms.saturating_sub(now_ms).max(1),
             priority: None,
-            last_event: self.resume_header(key),
+            last_event_id: self.resume_header(key),
             fetch_from: None,
         };
-        let service = exchange.plan.service.clone();
+        let service = exchange.route.service.clone();
         tracing::debug!(
-            request = %exchange.request.call.attempt,
+            request = %exchange.request.metadata.attempt_id,
             region = %offer.region,
             host = %host.name,
             predicted_ms = offer.first_event_ms as u64,
@@ -124,11 +124,11 @@
         });
         let request = Rc::clone(&self.exchanges[key].request);
         let service = self.service(&service);
-        let work_ms = self.fleet.service_ms(&service, &request.call, now_ms);
+        let work_ms = self.fleet.service_ms(&service, &request.metadata, now_ms);
         self.hosts
             .record_away(&offer.region, &service.name, work_ms);
         self.fleet
-            .remember_away(&offer.region, &request.call, now_ms);
+            .remember_away(&offer.region, &request.metadata, now_ms);
         self.telemetry.count_remote();
         let destination = Destination::Region {
             region: offer.region,
@@ -213,7 +213,7 @@
             return Vec::new();
         };
         let request = &exchange.request;
-        let resumes = headers.last_event.is_some();
+        let resumes = headers.last_event_id.is_some();
         let mut bytes = Vec::with_capacity(request.body.len() + 768);
         write_request_start(
             &request.head,
@@ -221,8 +221,8 @@
             &mut bytes,
         );
         headers.write(&mut bytes);
-        if let Some(plan) = forward {
-            bytes.extend_from_slice(format!("{FORWARD_HEADER}: {plan}\r\n").as_bytes());
+        if let Some(encoded_route) = forward {
+            bytes.extend_from_slice(format!("{FORWARD_HEADER}: {encoded_route}\r\n").as_bytes());
         }
         let had_length = request.head.header("content-length").is_some();
         if !request.body.is_empty() || had_length || request.head.framing == Framing::Chunked {
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -19,8 +19,8 @@
     exchange::{
         CallerRequest,
         Exchange,
-        Plan,
         RefusalRecord, //
+        ResolvedRoute,
     },
     fleet::Demand,
     hosts::HostInfo,
@@ -41,13 +41,16 @@
         &mut self,
         client: usize,
         request: CallerRequest,
-        plan: Plan,
+        route: ResolvedRoute,
         configuration_version: u64,
         is_forwarded: bool,
     ) {
         let now_ms = self.now_ms();
-        let time_limit_ms = request.call.time_limit_ms.unwrap_or(DEFAULT_TIME_LIMIT_MS);
-        self.budget.record_request(&plan.service, now_ms);
+        let time_limit_ms = request
+            .metadata
+            .time_limit_ms
+            .unwrap_or(DEFAULT_TIME_LIMIT_MS);
+        self.budget.record_request(&route.service, now_ms);
         self.next_serial += 1;
         let exchange = Exchange {
             serial: self.next_serial,
@@ -56,9 +59,9 @@
             request: Rc::new(request),
             configuration_version,
             arrived_ms: now_ms,
-            goal_at_ms: now_ms + plan.goal_ms,
-            deadline_ms: now_ms + time_limit_ms.min(plan.timeout_ms),
-            plan,
+            goal_at_ms: now_ms + route.goal_ms,
+            deadline_ms: now_ms + time_limit_ms.min(route.timeout_ms),
+            route,
             run_count: 0,
             excluded: Vec::new(),
             avoided: Vec::new(),
@@ -118,15 +121,15 @@
 
     pub(super) fn situation(&mut self, key: usize, now_ms: u64) -> Option<Situation> {
         let exchange = self.exchanges.get(key)?;
-        let plan = &exchange.plan;
-        let service = self.service(&plan.service);
-        let is_home = plan.allows_region(&self.settings.host.region);
+        let route = &exchange.route;
+        let service = self.service(&route.service);
+        let is_home = route.allows_region(&self.settings.host.region);
         let goal_left_ms = exchange.goal_at_ms.saturating_sub(now_ms) as f64;
         let time_left_ms = exchange.deadline_ms.saturating_sub(now_ms) as f64;
         let choose = |excluded: &[CompactString]| {
             let demand = Demand {
                 service: &service,
-                call: &exchange.request.call,
+                call: &exchange.request.metadata,
                 excluded,
                 region: &self.region_view,
                 goal_left_ms,
@@ -149,7 +152,7 @@
             queue_ms,
             away,
             goal_left_ms,
-            goal_ms: plan.goal_ms as f64,
+            goal_ms: route.goal_ms as f64,
             time_left_ms,
             is_waiting: exchange.is_waiting,
         })
@@ -189,10 +192,13 @@
             .iter()
             .filter(|other| Some(**other) != key)
             .filter_map(|other| self.exchanges.get(*other))
-            .filter(|other| other.plan.service == service.name)
+            .filter(|other| other.route.service == service.name)
             .filter(|other| own_rank.is_none_or(|own| rank(other) <= own));
         ahead
-            .map(|other| self.fleet.service_ms(service, &other.request.call, now_ms))
+            .map(|other| {
+                self.fleet
+                    .service_ms(service, &other.request.metadata, now_ms)
+            })
             .sum()
     }
 
@@ -211,7 +217,7 @@
         regions.dedup();
         regions
             .into_iter()
-            .filter(|region| *region != own && exchange.plan.allows_region(region))
+            .filter(|region| *region != own && exchange.route.allows_region(region))
             .filter(|region| !exchange.excluded_regions.contains(region))
             .filter(|region| self.hosts.live(now_ms).any(|host| host.region == **region))
             .filter_map(|region| self.remote_offer(region, exchange, service, now_ms))
@@ -232,7 +238,7 @@
         let round_trip_ms = self.round_trip_ms.get(region).copied();
         let work_ms = self
             .fleet
-            .service_ms(service, &exchange.request.call, now_ms);
+            .service_ms(service, &exchange.request.metadata, now_ms);
         // The other hosts of this region have probably sent as much.
         let all_sent_ms =
             self.hosts.away_sent_ms(region, &service.name) * self.region_view.host_count as f64;
@@ -243,7 +249,7 @@
             + work_ms;
         let demand = Demand {
             service,
-            call: &exchange.request.call,
+            call: &exchange.request.metadata,
             excluded: &[],
             region: &self.region_view,
             goal_left_ms: exchange.goal_at_ms.saturating_sub(now_ms) as f64,
@@ -283,7 +289,7 @@
             let Some(exchange) = self.exchanges.get(key) else {
                 continue;
             };
-            let service = exchange.plan.service.clone();
+            let service = exchange.route.service.clone();
             let count = match tried.iter_mut().find(|(name, _)| *name == service) {
                 Some((_, count)) => count,
                 None => {
@@ -301,6 +307,6 @@
 
 /// Order of waiting requests: by rank, then by arrival.
 fn rank(exchange: &Exchange) -> (u8, u64, u64) {
-    let priority = exchange.plan.priority.unwrap_or(0);
+    let priority = exchange.route.priority.unwrap_or(0);
     (priority, exchange.arrived_ms, exchange.serial)
 }
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -66,7 +66,7 @@
             dispatch.is_success = is_success;
             dispatch.progress_ms = now_ms;
         }
-        if !exchange.plan.is_stream || !is_success {
+        if !exchange.route.is_stream || !is_success {
             exchange.buffered.clear();
         }
     }
@@ -88,7 +88,7 @@
         let ResponseProgress::Body { head, .. } = &upstream.response_progress else {
             return;
         };
-        if !exchange.plan.is_stream || !is_success {
+        if !exchange.route.is_stream || !is_success {
             exchange.buffered.extend_from_slice(content);
             if exchange.buffered.len() > MAX_BUFFERED_BYTES && is_success {
                 let head = head.clone();
@@ -128,13 +128,13 @@
             .observe_first_event(now_ms.saturating_sub(exchange.arrived_ms));
         if let Destination::Endpoint(choice) = &dispatch.destination {
             let choice = choice.clone();
-            let service = exchange.plan.service.clone();
+            let service = exchange.route.service.clone();
             if let Some(endpoint) = self.fleet.get_mut(&choice.endpoint) {
                 endpoint.first_event(choice.work);
                 self.pending_update.record_change(&choice.endpoint);
                 endpoint.succeed(actual_ms, choice.first_event_ms);
             }
-            if exchange.plan.is_stream {
+            if exchange.route.is_stream {
                 self.fleet.learn_first_event(&service, &choice, actual_ms);
             }
         }
@@ -188,7 +188,7 @@
             };
             return self.handle_not_run(key, head, failure);
         }
-        if exchange.plan.is_stream && is_success {
+        if exchange.route.is_stream && is_success {
             let rest = exchange.events.partial().to_vec();
             if !rest.is_empty() {
                 // Not an event, but part of the endpoint's body.
@@ -232,7 +232,7 @@
             .get(key)
             .and_then(|exchange| exchange.dispatch.as_ref())
             .map(|dispatch| dispatch.sent_ms);
-        let service = self.exchanges[key].plan.service.clone();
+        let service = self.exchanges[key].route.service.clone();
         if let Some(sent_ms) = sent_ms {
             let is_here = matches!(
                 self.exchanges[key].destination(),
@@ -289,7 +289,7 @@
             Some(Destination::Endpoint(choice)) => {
                 exchange.excluded.push(choice.endpoint.clone());
                 self.end_dispatch(key, Some(failure), now_ms);
-                let service = self.exchanges[key].plan.service.clone();
+                let service = self.exchanges[key].route.service.clone();
                 let tries_left = self.exchanges[key].excluded.len() < MAX_EXCLUDED;
                 let hosts = self.hosts.live_count(now_ms);
                 if tries_left && self.budget.take(&service, hosts, now_ms) {
--- a/src/gateway/serve_upstream.rs
+++ b/src/gateway/serve_upstream.rs
@@ -182,7 +182,7 @@
         let is_stale = match exchange.and_then(|exchange| self.exchanges.get(exchange)) {
             Some(exchange) => is_stale(
                 &metadata,
-                &exchange.request.call.attempt,
+                &exchange.request.metadata.attempt_id,
                 upstream.request_count,
             ),
             None => false,
@@ -196,7 +196,7 @@
         if is_stale {
             tracing::info!(
                 address = %upstream.address,
-                attempt = ?metadata.attempt,
+                attempt = ?metadata.attempt_id,
                 "answer to an earlier request dropped"
             );
         } else if let Some(exchange) = exchange {
@@ -362,7 +362,7 @@
 /// An answer without an id is accepted only as the first one on a connection:
 /// later ones may be left over from the request before.
 fn is_stale(metadata: &ResponseMetadata, attempt: &str, request_count: u32) -> bool {
-    match &metadata.attempt {
+    match &metadata.attempt_id {
         Some(answered) => answered != attempt,
         None => request_count > 1,
     }
--- a/src/gateway/sharing.rs
+++ b/src/gateway/sharing.rs
@@ -19,7 +19,7 @@
     fleet::Choice,
     hosts::Beacon,
     reactor::Reactor,
-    request::Call, //
+    request::RequestMetadata, //
 };
 
 /// Interval of updates after a send, for each other host of the region, so that
@@ -150,7 +150,7 @@
     }
 
     /// Records that a request was sent to an endpoint.
-    pub fn record_send(&mut self, choice: &Choice, hash: u32, call: &Call) {
+    pub fn record_send(&mut self, choice: &Choice, hash: u32, call: &RequestMetadata) {
         self.record_change(&choice.endpoint);
         let shared = call.shared_parts().iter().map(|part| part.id);
         self.sends.push(SentPrompt {
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -189,18 +189,18 @@
             return;
         }
         tracing::info!(
-            request = %exchange.request.call.attempt,
-            route = %exchange.plan.route,
-            service = %exchange.plan.service,
+            request = %exchange.request.metadata.attempt_id,
+            route = %exchange.route.name,
+            service = %exchange.route.service,
             configuration = exchange.configuration_version,
             is_forwarded = exchange.is_forwarded,
             runs = exchange.run_count,
             tried = ?exchange.excluded,
             events = exchange.events.complete_count(),
-            prompt_tokens = exchange.request.call.prompt.0,
-            shared_tokens = exchange.request.call.shared_tokens(),
-            shared_part = exchange.request.call.affinity(),
-            goal_ms = exchange.plan.goal_ms,
+            prompt_tokens = exchange.request.metadata.prompt_tokens.0,
+            shared_tokens = exchange.request.metadata.shared_tokens(),
+            shared_part = exchange.request.metadata.affinity_key(),
+            goal_ms = exchange.route.goal_ms,
             destination = exchange.placement.as_ref().map(|placement| placement.destination.as_str()),
             waited_ms = exchange
                 .placement
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -11,9 +11,9 @@
             ResponseHead, //
         },
         request::{
-            Call,
             EndpointLoad,
             PromptPart, //
+            RequestMetadata,
         }, //
     },
     types::Tokens, //
@@ -57,29 +57,29 @@
 pub const DIRECTORY_PATH: &str = "/cardamombridge/resolve";
 
 /// Reads what the platform's headers say about a request.
-pub fn decode_call(headers: &[Header]) -> Call {
-    let mut call = Call::default();
+pub fn decode_request_metadata(headers: &[Header]) -> RequestMetadata {
+    let mut metadata = RequestMetadata::default();
     for header in headers {
         let Some(value) = header.text() else {
             continue;
         };
         if header.is(ATTEMPT_ID) {
-            call.attempt = value.into();
+            metadata.attempt_id = value.into();
         } else if header.is(TIME_LEFT) {
-            call.time_limit_ms = value.parse().ok();
+            metadata.time_limit_ms = value.parse().ok();
         } else if header.is(MODEL) {
-            call.model = value.into();
+            metadata.model = value.into();
         } else if header.is(TOKENS) {
             let (prompt, output) = value.split_once(',').unwrap_or((value, "0"));
-            call.prompt = Tokens(prompt.trim().parse().unwrap_or(0));
-            call.max_output = Tokens(output.trim().parse().unwrap_or(0));
+            metadata.prompt_tokens = Tokens(prompt.trim().parse().unwrap_or(0));
+            metadata.max_output_tokens = Tokens(output.trim().parse().unwrap_or(0));
         } else if header.is(PROMPT_PARTS) {
-            call.parts = decode_parts(value);
+            metadata.parts = decode_parts(value);
         } else if header.is(LAST_EVENT) {
-            call.last_event = Some(value.into());
+            metadata.last_event_id = Some(value.into());
         }
     }
-    call
+    metadata
 }
 
 fn decode_parts(value: &str) -> Vec<PromptPart> {
@@ -114,7 +114,7 @@
     /// Endpoint from which cached prompt parts are copied first.
     pub fetch_from: Option<SocketAddr>,
     /// Event after which a resumed stream goes on.
-    pub last_event: Option<CompactString>,
+    pub last_event_id: Option<CompactString>,
 }
 
 impl EndpointHeaders {
@@ -136,7 +136,7 @@
         if let Some(address) = &self.fetch_from {
             line(FETCH_FROM, &address.to_string());
         }
-        if let Some(event) = &self.last_event {
+        if let Some(event) = &self.last_event_id {
             line("Last-Event-Id", event);
         }
     }
@@ -146,7 +146,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ResponseMetadata {
     /// The attempt that the answer belongs to, if the answer names one.
-    pub attempt: Option<CompactString>,
+    pub attempt_id: Option<CompactString>,
     /// The endpoint signed the answer.
     pub is_sealed: bool,
     /// The endpoint says that it has not run the request.
@@ -171,7 +171,7 @@
             continue;
         };
         if header.is(ATTEMPT_ID) {
-            metadata.attempt = Some(value.into());
+            metadata.attempt_id = Some(value.into());
         } else if header.is(SEAL) {
             metadata.is_sealed = !value.is_empty();
         } else if header.is(NOT_RUN) {
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -38,8 +38,8 @@
             RegionView, //
         },
         request::{
-            Call,
             PromptPart, //
+            RequestMetadata,
         },
         retry_budget::{
             RetryBounds,
@@ -102,16 +102,16 @@
     fleet
 }
 
-fn prompt(shared: u64, own: u64) -> Call {
+fn prompt(shared: u64, own: u64) -> RequestMetadata {
     let part = |id, tokens| PromptPart {
         id,
         tokens: Tokens(tokens),
     };
-    Call {
-        prompt: Tokens(12_000),
-        max_output: Tokens(400),
+    RequestMetadata {
+        prompt_tokens: Tokens(12_000),
+        max_output_tokens: Tokens(400),
         parts: vec![part(1, 500), part(shared, 5_000), part(own, 6_500)],
-        ..Call::default()
+        ..RequestMetadata::default()
     }
 }
 
@@ -122,7 +122,12 @@
 }
 
 /// The choice for a request of the model.
-fn choose(fleet: &Fleet, call: &Call, hosts: &[CompactString], now_ms: u64) -> Option<Choice> {
+fn choose(
+    fleet: &Fleet,
+    call: &RequestMetadata,
+    hosts: &[CompactString],
+    now_ms: u64,
+) -> Option<Choice> {
     let region = RegionView {
         host_count: hosts.len(),
         cold_sharers: hosts.to_vec(),
@@ -278,7 +283,7 @@
 
 impl Placer {
     /// Sends a prompt and returns the endpoint and what the host tells of it.
-    fn send(&mut self, call: &Call, now_ms: u64) -> (CompactString, LoadUpdate) {
+    fn send(&mut self, call: &RequestMetadata, now_ms: u64) -> (CompactString, LoadUpdate) {
         let choice = choose(&self.fleet, call, &[], now_ms).expect("an endpoint");
         let endpoint = self.fleet.get_mut(&choice.endpoint).expect("the endpoint");
         endpoint.start(choice.work, now_ms);
@@ -354,14 +359,14 @@
         uncached_tokens: u64::from(u32::MAX),
         held_tokens: u64::from(u32::MAX),
     };
-    let call = Call {
+    let call = RequestMetadata {
         parts: (0..9)
             .map(|number| PromptPart {
                 id: u64::MAX - number,
                 tokens: Tokens(1),
             })
             .collect(),
-        ..Call::default()
+        ..RequestMetadata::default()
     };
     for number in 0..100 {
         let choice = Choice {
@@ -450,10 +455,10 @@
     for _ in 0..12 {
         streaming.start(Work::default(), 1_000);
     }
-    let long_answer = Call {
-        prompt: Tokens(400),
-        max_output: Tokens(900),
-        ..Call::default()
+    let long_answer = RequestMetadata {
+        prompt_tokens: Tokens(400),
+        max_output_tokens: Tokens(900),
+        ..RequestMetadata::default()
     };
 
     let choice = choose(&fleet, &long_answer, &[], 3_000).expect("an endpoint");
