--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -188,9 +188,9 @@
     /// Endpoints that may have run the request.
     pub run_count: u32,
     /// Endpoints that are not tried again.
-    pub excluded: Vec<CompactString>,
+    pub excluded_endpoints: Vec<CompactString>,
     /// Endpoints that failed, and are tried again only if there is no other.
-    pub avoided: Vec<CompactString>,
+    pub avoided_endpoints: Vec<CompactString>,
     /// Regions that are not tried again.
     pub excluded_regions: Vec<CompactString>,
     /// The request waits for an endpoint.
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -47,7 +47,7 @@
 
 /// Writes an answer of the gateway with a body.
 pub fn write_gateway_response(
-    answer: GatewayResponse,
+    response: GatewayResponse,
     content_type: &str,
     body: &[u8],
     is_closing: bool,
@@ -55,17 +55,17 @@
 ) {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
-        answer.status,
-        reason(answer.status),
+        response.status,
+        reason(response.status),
         body.len()
     );
-    if let Some(retry_ms) = answer.retry_after_ms {
+    if let Some(retry_ms) = response.retry_after_ms {
         head.push_str(&format!(
             "Retry-After: {:.3}\r\n",
             retry_ms as f64 / 1_000.0
         ));
     }
-    if answer.is_not_run {
+    if response.is_not_run {
         head.push_str(&format!("{NOT_RUN_HEADER}: 1\r\n"));
     }
     if is_closing {
@@ -107,7 +107,7 @@
 }
 
 /// Writes the start of a request's head: the first line and the caller's headers.
-pub fn write_request_start<F>(head: &RequestHead, is_passed_on: F, out: &mut Vec<u8>)
+pub fn write_request_start<F>(head: &RequestHead, is_relayed: F, out: &mut Vec<u8>)
 where
     F: Fn(&Header) -> bool,
 {
@@ -115,13 +115,13 @@
     out.push(b' ');
     out.extend_from_slice(head.target.as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    write_end_to_end(&head.headers, is_passed_on, out);
+    write_end_to_end(&head.headers, is_relayed, out);
 }
 
 /// Writes the fields that concern more than one connection.
 ///
 /// A `Connection` field can name further fields that concern only one.
-fn write_end_to_end<F>(headers: &[Header], is_passed_on: F, out: &mut Vec<u8>)
+fn write_end_to_end<F>(headers: &[Header], is_relayed: F, out: &mut Vec<u8>)
 where
     F: Fn(&Header) -> bool,
 {
@@ -136,7 +136,7 @@
         .iter()
         .filter(|header| !header.is_hop_by_hop() && !is_internal(header))
         .filter(|header| !connection_options.iter().any(|name| header.is(name)))
-        .filter(|header| is_passed_on(header))
+        .filter(|header| is_relayed(header))
         .for_each(|header| write_header(header, out));
 }
 
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_client.rs
@@ -76,8 +76,9 @@
             ReadState::Open => {}
         }
         if client.exchange.is_some() {
-            let has_left = client.is_read_closed || client.socket.input.len() > MAX_PIPELINED_BYTES;
-            if has_left {
+            let is_abandoned =
+                client.is_read_closed || client.socket.input.len() > MAX_PIPELINED_BYTES;
+            if is_abandoned {
                 self.drop_client(key);
             }
             return;
@@ -247,8 +248,8 @@
         let news = self.belief.as_ref().map(|belief| tell_news(belief, query));
         match news {
             Some(Ok(bytes)) => {
-                let answer = GatewayResponse::new(200);
-                self.respond_with_body(key, answer, "application/octet-stream", &bytes);
+                let response = GatewayResponse::new(200);
+                self.respond_with_body(key, response, "application/octet-stream", &bytes);
             }
             Some(Err(error)) => {
                 tracing::error!(%error, "could not encode the news");
@@ -269,21 +270,21 @@
     }
 
     /// Answers on a connection without an exchange.
-    pub(super) fn respond(&mut self, key: usize, answer: GatewayResponse) {
-        self.respond_with_body(key, answer, "text/plain", b"");
+    pub(super) fn respond(&mut self, key: usize, response: GatewayResponse) {
+        self.respond_with_body(key, response, "text/plain", b"");
     }
 
-    fn respond_and_close(&mut self, key: usize, answer: GatewayResponse) {
+    fn respond_and_close(&mut self, key: usize, response: GatewayResponse) {
         if let Some(client) = self.clients.get_mut(key) {
             client.is_closing = true;
         }
-        self.respond(key, answer);
+        self.respond(key, response);
     }
 
     fn respond_with_body(
         &mut self,
         key: usize,
-        answer: GatewayResponse,
+        response: GatewayResponse,
         content_type: &str,
         body: &[u8],
     ) {
@@ -294,7 +295,7 @@
         client.is_closing |= is_leaving;
         let is_closing = client.is_closing;
         write_gateway_response(
-            answer,
+            response,
             content_type,
             body,
             is_closing,
--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -20,7 +20,7 @@
 
 /// Endpoints tried for one request that none of them has run. Those that are
 /// gone say so within milliseconds.
-pub(super) const MAX_EXCLUDED: usize = 8;
+pub(super) const MAX_EXCLUDED_ENDPOINTS: usize = 8;
 /// When a caller may come back after a failure to reach any endpoint.
 pub(super) const UNREACHABLE_RETRY_MS: u64 = 300;
 /// Least time without progress after which a request that may run again is
@@ -45,21 +45,23 @@
         };
         match destination {
             Some(Destination::Endpoint(choice)) if error == UpstreamError::Broken => {
-                exchange.avoided.push(choice.endpoint);
+                exchange.avoided_endpoints.push(choice.endpoint);
+            }
+            Some(Destination::Endpoint(choice)) => {
+                exchange.excluded_endpoints.push(choice.endpoint)
             }
-            Some(Destination::Endpoint(choice)) => exchange.excluded.push(choice.endpoint),
             Some(Destination::Region { region, .. }) => exchange.excluded_regions.push(region),
             None => {}
         }
         exchange.buffered.clear();
         exchange.events.discard_partial();
-        let excluded = exchange.excluded.len() + exchange.excluded_regions.len();
+        let excluded = exchange.excluded_endpoints.len() + exchange.excluded_regions.len();
         self.end_dispatch(key, Some(failure), now_ms);
         if error == UpstreamError::Unreachable {
             if self.exchanges[key].has_response_begun {
                 return self.cut_off(key, "no endpoint could be reached");
             }
-            if excluded < MAX_EXCLUDED {
+            if excluded < MAX_EXCLUDED_ENDPOINTS {
                 return self.place_exchange(key);
             }
             return self.refuse(key, "no endpoint could be reached", UNREACHABLE_RETRY_MS);
@@ -84,7 +86,7 @@
         };
         if let Some(Destination::Endpoint(choice)) = exchange.destination() {
             let endpoint = choice.endpoint.clone();
-            exchange.avoided.push(endpoint);
+            exchange.avoided_endpoints.push(endpoint);
         }
     }
 
@@ -172,7 +174,7 @@
     }
 
     /// Ends a request with an answer of the gateway itself.
-    pub(super) fn fail(&mut self, key: usize, cause: &'static str, answer: GatewayResponse) {
+    pub(super) fn fail(&mut self, key: usize, cause: &'static str, response: GatewayResponse) {
         let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get(key) else {
             return;
@@ -184,14 +186,14 @@
             client.is_closing |= is_leaving;
             let is_closing = client.is_closing;
             write_gateway_response(
-                answer,
+                response,
                 "text/plain",
                 b"",
                 is_closing,
                 client.socket.output(),
             );
         }
-        self.end_exchange(key, cause, answer.status);
+        self.end_exchange(key, cause, response.status);
     }
 
     /// Ends an answer that has begun and cannot be completed: its connection
@@ -249,16 +251,16 @@
             return;
         }
         self.check_connecting(now_ms);
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         let mut stalled = Vec::new();
         for (key, exchange) in &self.exchanges {
             if now_ms >= exchange.deadline_ms {
-                over.push(key);
+                expired.push(key);
             } else if is_stalled(exchange, now_ms) {
                 stalled.push(key);
             }
         }
-        for key in over {
+        for key in expired {
             self.time_out(key, now_ms);
         }
         for key in stalled {
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -30,7 +30,7 @@
 };
 use crate::platform::headers::{
     EndpointHeaders,
-    is_passed_on, //
+    is_relayed, //
 };
 
 /// Weight of a new observation in the round trip to another region.
@@ -213,11 +213,11 @@
             return Vec::new();
         };
         let request = &exchange.request;
-        let resumes = headers.last_event_id.is_some();
+        let is_resumed = headers.last_event_id.is_some();
         let mut bytes = Vec::with_capacity(request.body.len() + 768);
         write_request_start(
             &request.head,
-            |header| is_passed_on(header, resumes),
+            |header| is_relayed(header, is_resumed),
             &mut bytes,
         );
         headers.write(&mut bytes);
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -63,8 +63,8 @@
             deadline_ms: now_ms + time_limit_ms.min(route.timeout_ms),
             route,
             run_count: 0,
-            excluded: Vec::new(),
-            avoided: Vec::new(),
+            excluded_endpoints: Vec::new(),
+            avoided_endpoints: Vec::new(),
             excluded_regions: Vec::new(),
             is_waiting: false,
             dispatch: None,
@@ -137,13 +137,17 @@
             };
             self.fleet.choose(&demand, now_ms)
         };
-        let unwanted = [exchange.excluded.as_slice(), exchange.avoided.as_slice()].concat();
+        let skipped = [
+            exchange.excluded_endpoints.as_slice(),
+            exchange.avoided_endpoints.as_slice(),
+        ]
+        .concat();
         let away = self.best_remote_offer(exchange, &service, now_ms);
-        let untried = is_home.then(|| choose(&unwanted)).flatten();
+        let untried = is_home.then(|| choose(&skipped)).flatten();
         // An endpoint that failed the request is only tried again if no other
         // region can be.
         let here = match untried {
-            None if is_home && away.is_none() => choose(&exchange.excluded),
+            None if is_home && away.is_none() => choose(&exchange.excluded_endpoints),
             untried => untried,
         };
         let queue_ms = self.queue_ms(&service, Some(key), now_ms);
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -23,7 +23,7 @@
         write_response_head, //
     },
     serve_completion::{
-        MAX_EXCLUDED,
+        MAX_EXCLUDED_ENDPOINTS,
         UNREACHABLE_RETRY_MS, //
     }, //
 };
@@ -99,15 +99,15 @@
             }
             return;
         }
-        let mut whole = Vec::new();
-        exchange.events.push(content, &mut whole);
-        if whole.is_empty() {
+        let mut complete_events = Vec::new();
+        exchange.events.push(content, &mut complete_events);
+        if complete_events.is_empty() {
             return;
         }
         let head = head.clone();
         self.record_first_event(key, now_ms);
         self.write_head_once(key, &head);
-        self.write_body_chunk(key, &whole);
+        self.write_body_chunk(key, &complete_events);
     }
 
     /// The first event, or the answer, of the present sending has arrived.
@@ -189,11 +189,11 @@
             return self.handle_not_run(key, head, failure);
         }
         if exchange.route.is_stream && is_success {
-            let rest = exchange.events.partial().to_vec();
-            if !rest.is_empty() {
+            let remainder = exchange.events.partial().to_vec();
+            if !remainder.is_empty() {
                 // Not an event, but part of the endpoint's body.
                 self.write_head_once(key, head);
-                self.write_body_chunk(key, &rest);
+                self.write_body_chunk(key, &remainder);
             }
             self.record_first_event(key, now_ms);
             return self.finish_success(key, head, now_ms);
@@ -287,10 +287,11 @@
             .map_or(UNREACHABLE_RETRY_MS, |seconds| (seconds * 1_000.0) as u64);
         match destination {
             Some(Destination::Endpoint(choice)) => {
-                exchange.excluded.push(choice.endpoint.clone());
+                exchange.excluded_endpoints.push(choice.endpoint.clone());
                 self.end_dispatch(key, Some(failure), now_ms);
                 let service = self.exchanges[key].route.service.clone();
-                let tries_left = self.exchanges[key].excluded.len() < MAX_EXCLUDED;
+                let tries_left =
+                    self.exchanges[key].excluded_endpoints.len() < MAX_EXCLUDED_ENDPOINTS;
                 let hosts = self.hosts.live_count(now_ms);
                 if tries_left && self.budget.take(&service, hosts, now_ms) {
                     return self.place_exchange(key);
@@ -310,6 +311,6 @@
 /// Whether an answer is a whole success of the endpoint.
 fn is_success(head: &ResponseHead, metadata: &ResponseMetadata) -> bool {
     (200..300).contains(&head.status)
-        && metadata.is_sealed
+        && metadata.is_signed
         && head.header("content-encoding").is_none()
 }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -64,7 +64,7 @@
 pub fn run(path: &Path) -> anyhow::Result<ExitCode> {
     let settings = GatewaySettings::load(path)?;
     let (_log_thread, dropped_lines) = logs::init_json(&settings.log_filter)?;
-    let telemetry = Telemetry::new().with_log_thread(dropped_lines);
+    let telemetry = Telemetry::new().with_log_drop_counter(dropped_lines);
     let (sender, updates) = bounded(UPDATE_QUEUE_LEN);
     let reread: PathBuf = path.to_path_buf();
     let mut reactor = Reactor::new(settings.clone(), updates, telemetry)
@@ -72,7 +72,7 @@
         .with_reload(Box::new(move || reload(&reread)));
     let updates = UpdateSender::new(sender, reactor.waker()?);
     let belief = Belief::new(updates.clone());
-    let (resync_requests, asked) = bounded(1);
+    let (resync_requests, resync_receiver) = bounded(1);
     reactor.set_belief(belief.clone(), resync_requests);
     let is_stopping = Arc::new(AtomicBool::new(false));
     tracing::info!(
@@ -91,7 +91,7 @@
     spawn_followers(
         &settings,
         belief,
-        asked,
+        resync_receiver,
         Arc::clone(&is_stopping),
         host_count,
     )?;
@@ -147,14 +147,14 @@
 fn spawn_followers(
     settings: &GatewaySettings,
     belief: Belief,
-    asked: Receiver<SocketAddr>,
+    resync_receiver: Receiver<SocketAddr>,
     is_stopping: Arc<AtomicBool>,
     host_count: Arc<AtomicU64>,
 ) -> anyhow::Result<()> {
     let mut follower = StoreFollower::new(settings.store_address, belief.clone());
     thread::Builder::new()
         .name("peer-news".into())
-        .spawn(move || follow_peers(&belief, &asked))?;
+        .spawn(move || follow_peers(&belief, &resync_receiver))?;
     thread::Builder::new()
         .name("store".into())
         .spawn(move || follower.run(&is_stopping, &host_count))?;
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -51,7 +51,7 @@
     remote: Counter,
     omitted_lines: Counter,
     dropped_lines: Gauge,
-    log_thread: Option<ErrorCounter>,
+    log_drop_counter: Option<ErrorCounter>,
     first_event_s: Histogram,
     duration_s: Histogram,
     routine: LineLimiter,
@@ -69,7 +69,7 @@
             remote: Counter::default(),
             omitted_lines: Counter::default(),
             dropped_lines: Gauge::default(),
-            log_thread: None,
+            log_drop_counter: None,
             first_event_s: Histogram::new(BUCKETS_S),
             duration_s: Histogram::new(BUCKETS_S),
             routine: LineLimiter::default(),
@@ -123,15 +123,15 @@
     }
 
     /// Reports the lines that the log thread drops.
-    pub fn with_log_thread(mut self, counter: ErrorCounter) -> Self {
-        self.log_thread = Some(counter);
+    pub fn with_log_drop_counter(mut self, counter: ErrorCounter) -> Self {
+        self.log_drop_counter = Some(counter);
         self
     }
 
     /// All metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let dropped = self
-            .log_thread
+            .log_drop_counter
             .as_ref()
             .map_or(0, ErrorCounter::dropped_lines);
         self.dropped_lines
@@ -195,7 +195,7 @@
             configuration = exchange.configuration_version,
             is_forwarded = exchange.is_forwarded,
             runs = exchange.run_count,
-            tried = ?exchange.excluded,
+            tried = ?exchange.excluded_endpoints,
             events = exchange.events.complete_count(),
             prompt_tokens = exchange.request.metadata.prompt_tokens.0,
             shared_tokens = exchange.request.metadata.shared_tokens(),
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -20,7 +20,7 @@
 };
 
 const ATTEMPT_ID: &str = "x-attempt-id";
-const TIME_LEFT: &str = "x-deadline-ms";
+const DEADLINE: &str = "x-deadline-ms";
 const MODEL: &str = "x-model";
 /// Prompt tokens and the most output tokens, separated by a comma.
 const TOKENS: &str = "x-token-counts";
@@ -30,11 +30,11 @@
 /// Address of an endpoint that has cached parts of the prompt.
 const FETCH_FROM: &str = "Kv-Fetch";
 const PRIORITY: &str = "X-Request-Priority";
-const SEAL: &str = "x-server-seal";
+const SIGNATURE: &str = "x-server-seal";
 const NOT_RUN: &str = "x-not-run";
 /// Running requests, waiting requests and slots.
 const LOAD: &str = "x-server-load";
-const COLD_LEFT: &str = "x-cold-ms";
+const COLD_TIME: &str = "x-cold-ms";
 /// Lowest rank that an endpoint accepts; 0 is the most urgent.
 const MAX_PRIORITY: u8 = 9;
 
@@ -48,7 +48,7 @@
     "x-expect-instance",
     "x-request-priority",
     "x-expect-version",
-    TIME_LEFT,
+    DEADLINE,
 ];
 
 /// Path on which the platform asks whether a host takes requests.
@@ -65,7 +65,7 @@
         };
         if header.is(ATTEMPT_ID) {
             metadata.attempt_id = value.into();
-        } else if header.is(TIME_LEFT) {
+        } else if header.is(DEADLINE) {
             metadata.time_limit_ms = value.parse().ok();
         } else if header.is(MODEL) {
             metadata.model = value.into();
@@ -96,10 +96,10 @@
 }
 
 /// Whether a caller's header is passed on to an endpoint.
-pub fn is_passed_on(header: &Header, resumes: bool) -> bool {
-    let reserved = RESERVED.iter().any(|name| header.is(name));
-    let replaced = resumes && header.is(LAST_EVENT);
-    !reserved && !replaced
+pub fn is_relayed(header: &Header, is_resumed: bool) -> bool {
+    let is_reserved = RESERVED.iter().any(|name| header.is(name));
+    let is_replaced = is_resumed && header.is(LAST_EVENT);
+    !is_reserved && !is_replaced
 }
 
 /// Headers that the gateway adds to a request for an endpoint.
@@ -148,7 +148,7 @@
     /// The attempt that the answer belongs to, if the answer names one.
     pub attempt_id: Option<CompactString>,
     /// The endpoint signed the answer.
-    pub is_sealed: bool,
+    pub is_signed: bool,
     /// The endpoint says that it has not run the request.
     pub is_not_run: bool,
     /// Another endpoint listens at the address than the one that was expected.
@@ -172,13 +172,13 @@
         };
         if header.is(ATTEMPT_ID) {
             metadata.attempt_id = Some(value.into());
-        } else if header.is(SEAL) {
-            metadata.is_sealed = !value.is_empty();
+        } else if header.is(SIGNATURE) {
+            metadata.is_signed = !value.is_empty();
         } else if header.is(NOT_RUN) {
             metadata.is_not_run = true;
         } else if header.is(LOAD) {
             metadata.load = decode_load(value);
-        } else if header.is(COLD_LEFT) {
+        } else if header.is(COLD_TIME) {
             metadata.cold_left_ms = value.parse().ok();
         }
     }
--- a/src/platform/items.rs
+++ b/src/platform/items.rs
@@ -160,7 +160,7 @@
             });
         }
     };
-    let whole = wire.backend.map(|service| RouteTarget {
+    let single = wire.backend.map(|service| RouteTarget {
         service,
         weight: 1.0,
     });
@@ -179,7 +179,7 @@
         goal_ms: wire.goal_ms.map_or(timeout_ms, ceil_ms),
         max_attempts: wire.max_attempts.unwrap_or(1).max(1),
         priority: wire.prio,
-        targets: whole.into_iter().chain(shares).collect(),
+        targets: single.into_iter().chain(shares).collect(),
         homes: wire.home_regions,
     })
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -181,12 +181,12 @@
     /// Takes a lease.
     pub fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         let body = serde_json::json!({ "ttl_ms": ttl.as_millis() as u64 }).to_string();
-        let answer = self.call(
+        let response = self.call(
             Method::POST,
             "/cardamombridge/kv-lease",
             Some(body.into_bytes()),
         )?;
-        let lease: WireLease = serde_json::from_slice(&answer)?;
+        let lease: WireLease = serde_json::from_slice(&response)?;
         Ok(LeaseId(lease.lease))
     }
 
@@ -230,15 +230,15 @@
         let request = builder
             .body(Body::from(body.unwrap_or_default()))
             .map_err(|error| StoreError::NoAnswer(std::io::Error::other(error)))?;
-        let answer = self.client.request(request).map_err(StoreError::NoAnswer)?;
-        match answer.status().as_u16() {
+        let response = self.client.request(request).map_err(StoreError::NoAnswer)?;
+        match response.status().as_u16() {
             200..=299 => {}
             404 => return Err(StoreError::LeaseEnded),
             410 => return Err(StoreError::HistoryDropped),
             status => return Err(StoreError::Refused(status)),
         }
         let mut bytes = Vec::new();
-        answer
+        response
             .into_body()
             .take(MAX_ANSWER_BYTES)
             .read_to_end(&mut bytes)
