--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -64,7 +64,7 @@
         host.wait_log("\"configuration in force\",\"version\":8");
         let answer = Request::get("/read/1")
             .with_attempt("a-1", 2_000)
-            .send(host.callers);
+            .send(host.caller_address);
         assert_eq!(answer.status, 503, "an evacuated endpoint was used");
     }
     assert!(endpoint.arrivals().is_empty());
@@ -95,7 +95,7 @@
     });
     let answer = Request::get("/read/1")
         .with_attempt("a-1", 2_000)
-        .send(host.callers);
+        .send(host.caller_address);
 
     assert_eq!(answer.status, 200);
     host.wait_log("endpoint is no longer announced");
--- a/tests/gateway_truth.rs
+++ b/tests/gateway_outcomes.rs
@@ -40,13 +40,16 @@
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
 
-    let answer = Request::post("/chat/1", b"hello")
+    let response = Request::post("/chat/1", b"hello")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
-    assert_eq!(answer.status, 200);
-    assert!(!answer.is_whole, "the answer ends as if it were complete");
-    assert_eq!(answer.text(), (0..3).map(event_text).collect::<String>());
+    assert_eq!(response.status, 200);
+    assert!(
+        !response.is_complete,
+        "the answer ends as if it were complete"
+    );
+    assert_eq!(response.text(), (0..3).map(event_text).collect::<String>());
 }
 
 /// Guards against an event that is missing, comes twice or is joined from two
@@ -72,12 +75,12 @@
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
 
-    let answer = Request::post("/chat/1", b"hello")
+    let response = Request::post("/chat/1", b"hello")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
-    assert!(answer.is_whole);
-    assert_eq!(answer.text(), (0..5).map(event_text).collect::<String>());
+    assert!(response.is_complete);
+    assert_eq!(response.text(), (0..5).map(event_text).collect::<String>());
     assert_eq!(endpoint.runs().len(), 2);
 }
 
@@ -88,11 +91,11 @@
         ScriptedEndpoint::start("e-1", |_, _| Script::Close).expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
 
-    let answer = Request::post("/book/1", b"parcel")
+    let response = Request::post("/book/1", b"parcel")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
-    assert_eq!(answer.status, 502, "a status that promises nothing");
+    assert_eq!(response.status, 502, "a status that promises nothing");
     assert_eq!(endpoint.runs().len(), 1);
 }
 
@@ -110,13 +113,13 @@
     let (_store, host) = host_with(&endpoint);
 
     for attempt in 0..4 {
-        let answer = Request::post("/book/1", b"parcel")
+        let response = Request::post("/book/1", b"parcel")
             .with_attempt(&format!("a-{attempt}"), LIMIT_MS)
-            .send(host.callers);
+            .send(host.caller_address);
 
-        assert_eq!(answer.status, 200);
+        assert_eq!(response.status, 200);
         let expected = if attempt == 0 { "answer" } else { "right" };
-        assert_eq!(answer.text(), expected);
+        assert_eq!(response.text(), expected);
     }
 }
 
@@ -131,11 +134,11 @@
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
 
-    let answer = Request::get("/read/1")
+    let response = Request::get("/read/1")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
-    assert_eq!((answer.status, answer.text().as_str()), (200, "found"));
+    assert_eq!((response.status, response.text().as_str()), (200, "found"));
 }
 
 /// Guards against a refusal that says "not run" about a request that ran.
@@ -145,12 +148,12 @@
         ScriptedEndpoint::start("e-1", |_, _| Script::NotRun).expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
 
-    let answer = Request::post("/book/1", b"parcel")
+    let response = Request::post("/book/1", b"parcel")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert!(endpoint.runs().is_empty());
 }
 
@@ -163,10 +166,10 @@
 
     Request::get("/read/1")
         .with_attempt("a-1", LIMIT_MS)
-        .send(host.callers);
+        .send(host.caller_address);
 
     host.wait_log("\"request\":\"a-1\",\"route\":\"read\"");
-    let metrics = Request::get("/metrics").send(host.metrics).text();
+    let metrics = Request::get("/metrics").send(host.metrics_address).text();
     let counted = "cardamombridge_requests_total{outcome=\"answered\",status=\"200\"} 1";
     assert!(metrics.contains(counted), "{metrics}");
     assert!(metrics.contains("cardamombridge_first_event_seconds_bucket"));
@@ -180,8 +183,8 @@
     let replaced = ScriptedEndpoint::start("e-1", |_, _| Script::Answer(421, Vec::new()))
         .expect("the endpoint starts");
     let good = ScriptedEndpoint::start("e-2", |_, _| {
-        let answer = Script::Answer(200, b"ok".to_vec());
-        Script::After(Duration::from_millis(300), Box::new(answer))
+        let response = Script::Answer(200, b"ok".to_vec());
+        Script::After(Duration::from_millis(300), Box::new(response))
     })
     .expect("the endpoint starts");
     announce(&store, &replaced, "north");
@@ -193,12 +196,12 @@
     // They overlap, so that the replaced endpoint always looks idle.
     std::thread::scope(|scope| {
         for number in 0..12 {
-            let callers = host.callers;
+            let caller_address = host.caller_address;
             scope.spawn(move || {
-                let answer = Request::get("/read/1")
+                let response = Request::get("/read/1")
                     .with_attempt(&format!("a-{number}"), LIMIT_MS)
-                    .send(callers);
-                assert_eq!(answer.status, 200);
+                    .send(caller_address);
+                assert_eq!(response.status, 200);
             });
             std::thread::sleep(Duration::from_millis(80));
         }
--- a/tests/gateway_shutdown.rs
+++ b/tests/gateway_shutdown.rs
@@ -16,7 +16,7 @@
 use gatewayenv::{
     Request,
     host_with,
-    read_next_answer,
+    read_next_response,
     wait_until, //
 };
 use nix::sys::signal::Signal;
@@ -36,11 +36,11 @@
     })
     .expect("the endpoint starts");
     let (store, mut host) = host_with(&endpoint);
-    let callers = host.callers;
+    let caller_address = host.caller_address;
     let stream = thread::spawn(move || {
         Request::post("/draft/1", b"text")
             .with_attempt("a-1", 9_000)
-            .send(callers)
+            .send(caller_address)
     });
     wait_until("the stream runs", || endpoint.runs().len() == 1);
 
@@ -48,18 +48,18 @@
     wait_until("the host is not ready", || !host.is_ready());
     let early = Request::post("/book/1", b"x")
         .with_attempt("a-2", 5_000)
-        .send(host.callers);
+        .send(host.caller_address);
     thread::sleep(Duration::from_millis(3_100));
     let late = Request::post("/book/1", b"x")
         .with_attempt("a-3", 5_000)
-        .send(host.callers);
+        .send(host.caller_address);
 
     assert_eq!(early.status, 200);
     assert_eq!(early.header("connection"), Some("close"));
     assert_eq!(late.status, 503);
     assert!(late.header("retry-after").is_some());
     let stream = stream.join().expect("the caller ends");
-    assert!(stream.is_whole);
+    assert!(stream.is_complete);
     assert_eq!(stream.text(), (0..40).map(event_text).collect::<String>());
     assert_eq!(host.wait_end(Duration::from_secs(5)), Some(0));
     assert!(!endpoint.runs().iter().any(|run| run.attempt() == "a-3"));
@@ -85,7 +85,7 @@
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
     let leave_after_start = |path: &str, attempt: &str| {
-        let mut stream = TcpStream::connect(host.callers).expect("a connection");
+        let mut stream = TcpStream::connect(host.caller_address).expect("a connection");
         let request = Request::post(path, b"x").with_attempt(attempt, 9_000);
         std::io::Write::write_all(&mut stream, &request.bytes()).expect("the request is sent");
         wait_until("the request runs", || {
@@ -115,7 +115,7 @@
     })
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
-    let mut stream = TcpStream::connect(host.callers).expect("a connection");
+    let mut stream = TcpStream::connect(host.caller_address).expect("a connection");
     let pipelined: Vec<u8> = (0..3)
         .flat_map(|number| {
             Request::get("/read/1")
@@ -130,8 +130,8 @@
 
     let mut read = Vec::new();
     for number in 0..3 {
-        let answer = read_next_answer(&mut stream, &mut read).expect("an answer");
-        assert_eq!(answer.text(), format!("a-{number}"));
+        let response = read_next_response(&mut stream, &mut read).expect("an answer");
+        assert_eq!(response.text(), format!("a-{number}"));
     }
     assert!(read.is_empty(), "bytes after the last answer: {read:?}");
 }
--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -44,10 +44,10 @@
     wire::Wire, //
 };
 use gatewayenv::{
-    Answer,
     Host,
     HostOptions,
     Request,
+    Response,
     announce,
     announce_with,
     configuration,
@@ -65,7 +65,7 @@
 /// Seeds that run in CI, and every seed that ever failed.
 const DEFAULT_SEEDS: [u64; 2] = [1, 2];
 /// Length of one seed in CI.
-const DEFAULT_SECONDS: u64 = 6;
+const DEFAULT_LENGTH_S: u64 = 6;
 const HOSTS: [(&str, &str); 3] = [
     ("host-1", "north"),
     ("host-2", "north"),
@@ -77,21 +77,21 @@
     ("e-3", "south"),
     ("e-4", "south"),
 ];
-const CALLERS: u64 = 6;
-const EVENTS: u64 = 6;
+const CALLER_COUNT: u64 = 6;
+const EVENT_COUNT: u64 = 6;
 const LIMIT_MS: u64 = 3_000;
 /// Time in which all hosts serve again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(8);
 
 struct Outcome {
     attempt: String,
     path: &'static str,
-    answer: Option<Answer>,
+    response: Option<Response>,
 }
 
-type Callers = Arc<Mutex<Vec<Option<SocketAddr>>>>;
+type CallerAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-fn pick(random: &mut Pcg64Mcg, count: u64) -> u64 {
+fn random_below(random: &mut Pcg64Mcg, count: u64) -> u64 {
     random.next_u64() % count
 }
 
@@ -104,20 +104,20 @@
         .and_then(|last| last.parse::<u64>().ok())
         .map_or(0, |last| last + 1);
     let is_stream = arrival.path.starts_with("/chat/") || arrival.path.starts_with("/draft/");
-    match (pick(&mut random, 20), is_stream) {
+    match (random_below(&mut random, 20), is_stream) {
         (0, _) => Script::NotRun,
         (1, _) => Script::Close,
         (2, _) => Script::Answer(500, b"failed".to_vec()),
         (3, true) => Script::Events {
             first,
-            end: (first + 2).min(EVENTS),
+            end: (first + 2).min(EVENT_COUNT),
             pause: Duration::from_millis(5),
             is_whole: false,
         },
         (_, true) => Script::Events {
             first,
-            end: EVENTS,
-            pause: Duration::from_millis(pick(&mut random, 40)),
+            end: EVENT_COUNT,
+            pause: Duration::from_millis(random_below(&mut random, 40)),
             is_whole: true,
         },
         (3, false) => Script::Extra(
@@ -126,23 +126,28 @@
                 .to_vec(),
         ),
         (_, false) => Script::After(
-            Duration::from_millis(pick(&mut random, 60)),
+            Duration::from_millis(random_below(&mut random, 60)),
             Box::new(Script::Answer(200, arrival.attempt().as_bytes().to_vec())),
         ),
     }
 }
 
 /// Sends requests until told to end.
-fn call(seed: u64, callers: &Callers, ends: &AtomicBool, outcomes: &Mutex<Vec<Outcome>>) {
+fn send_requests(
+    seed: u64,
+    caller_addresses: &CallerAddresses,
+    is_ending: &AtomicBool,
+    outcomes: &Mutex<Vec<Outcome>>,
+) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut number = 0;
-    while !ends.load(Ordering::Relaxed) {
+    while !is_ending.load(Ordering::Relaxed) {
         number += 1;
         let attempt = format!("{seed:x}-{number}");
         let paths = ["/read/1", "/book/1", "/chat/1", "/draft/1"];
-        let path = paths[pick(&mut random, 4) as usize];
-        let host = pick(&mut random, HOSTS.len() as u64) as usize;
-        let address = callers.lock().expect("no panic")[host];
+        let path = paths[random_below(&mut random, 4) as usize];
+        let host = random_below(&mut random, HOSTS.len() as u64) as usize;
+        let address = caller_addresses.lock().expect("no panic")[host];
         let Some(address) = address else {
             thread::sleep(Duration::from_millis(10));
             continue;
@@ -151,27 +156,27 @@
             "/read/1" => Request::get(path),
             _ => Request::post(path, attempt.as_bytes()),
         };
-        let answer = request.with_attempt(&attempt, LIMIT_MS).try_send(address);
+        let response = request.with_attempt(&attempt, LIMIT_MS).try_send(address);
         outcomes.lock().expect("no panic").push(Outcome {
             attempt,
             path,
-            answer,
+            response,
         });
     }
 }
 
-struct World {
+struct Cluster {
     store: MetadataStore,
     wires: Vec<Wire>,
     endpoints: Vec<ScriptedEndpoint>,
     hosts: Vec<Option<Host>>,
-    callers: Callers,
-    old_logs: Vec<String>,
+    caller_addresses: CallerAddresses,
+    ended_logs: Vec<String>,
     version: u64,
     incarnation: AtomicU64,
 }
 
-impl World {
+impl Cluster {
     fn new(seed: u64) -> Self {
         let store = store_with_configuration();
         let endpoints: Vec<ScriptedEndpoint> = ENDPOINTS
@@ -187,24 +192,24 @@
         let wires = (0..HOSTS.len() as u64)
             .map(|index| Wire::start(store.address(), seed ^ index).expect("the wire starts"))
             .collect();
-        let mut world = Self {
+        let mut cluster = Self {
             store,
             wires,
             endpoints,
             hosts: HOSTS.iter().map(|_| None).collect(),
-            callers: Arc::new(Mutex::new(vec![None; HOSTS.len()])),
-            old_logs: Vec::new(),
+            caller_addresses: Arc::new(Mutex::new(vec![None; HOSTS.len()])),
+            ended_logs: Vec::new(),
             version: 7,
             incarnation: AtomicU64::new(1),
         };
         for index in 0..HOSTS.len() {
-            world.start(index);
+            cluster.start(index);
         }
-        for host in world.hosts.iter().flatten() {
+        for host in cluster.hosts.iter().flatten() {
             host.wait_ready();
             host.wait_log("endpoint announced");
         }
-        world
+        cluster
     }
 
     fn start(&mut self, index: usize) {
@@ -216,7 +221,7 @@
             store: Some(self.wires[index].address()),
         };
         let host = Host::start_only(&self.store, &options);
-        self.callers.lock().expect("no panic")[index] = Some(host.callers);
+        self.caller_addresses.lock().expect("no panic")[index] = Some(host.caller_address);
         self.hosts[index] = Some(host);
     }
 
@@ -229,28 +234,28 @@
                 ended.is_some() || signal == Signal::SIGKILL,
                 "a host did not end"
             );
-            self.old_logs.push(host.log());
+            self.ended_logs.push(host.log());
         }
         self.start(index);
     }
 
-    fn configure(&mut self) {
+    fn write_configuration(&mut self) {
         self.version += 1;
         self.store.put("op/config", &configuration(self.version));
     }
 
     /// A second operator overwrites the newest configuration with an older one.
-    fn configure_late(&mut self) {
-        self.configure();
+    fn write_older_configuration(&mut self) {
+        self.write_configuration();
         self.store
             .put("op/config", &configuration(self.version - 1));
     }
 
     /// Plays one fault and mends it.
-    fn fault(&mut self, random: &mut Pcg64Mcg) {
-        let index = pick(random, HOSTS.len() as u64) as usize;
-        let pause = Duration::from_millis(100 + pick(random, 900));
-        match pick(random, 12) {
+    fn inject_fault(&mut self, random: &mut Pcg64Mcg) {
+        let index = random_below(random, HOSTS.len() as u64) as usize;
+        let pause = Duration::from_millis(100 + random_below(random, 900));
+        match random_below(random, 12) {
             0 => self.restart(index, Signal::SIGKILL),
             1 => self.restart(index, Signal::SIGTERM),
             2 => {
@@ -260,13 +265,13 @@
             }
             3 => {
                 self.wires[index].set_cut(true);
-                self.configure();
+                self.write_configuration();
                 thread::sleep(pause);
                 self.wires[index].set_cut(false);
             }
             4 => {
                 self.wires[index].set_frozen(true);
-                self.configure();
+                self.write_configuration();
                 thread::sleep(pause);
                 self.wires[index].set_frozen(false);
             }
@@ -277,7 +282,8 @@
             }
             6..=8 => {
                 let faults = [StoreFault::Busy, StoreFault::Down, StoreFault::LosesAnswers];
-                self.store.set_fault(faults[pick(random, 3) as usize]);
+                self.store
+                    .set_fault(faults[random_below(random, 3) as usize]);
                 thread::sleep(pause);
                 self.store.set_fault(StoreFault::None);
                 self.store.drop_history();
@@ -288,10 +294,12 @@
                 self.store.delete("op/evacuate/north-a");
             }
             10 => {
-                self.configure_late();
+                self.write_older_configuration();
                 thread::sleep(pause);
             }
-            _ => self.replace_endpoint(pick(random, ENDPOINTS.len() as u64) as usize, pause),
+            _ => {
+                self.replace_endpoint(random_below(random, ENDPOINTS.len() as u64) as usize, pause)
+            }
         }
     }
 
@@ -328,30 +336,30 @@
 
 fn check_outcome(seed: u64, outcome: &Outcome, runs: usize) {
     let Outcome { attempt, path, .. } = outcome;
-    let may_repeat = matches!(*path, "/read/1" | "/chat/1");
-    let limit = if may_repeat { 2 } else { 1 };
+    let is_retryable = matches!(*path, "/read/1" | "/chat/1");
+    let limit = if is_retryable { 2 } else { 1 };
     assert!(
         runs <= limit,
         "seed {seed}: {attempt} {path} ran {runs} times"
     );
-    let Some(answer) = &outcome.answer else {
+    let Some(response) = &outcome.response else {
         return;
     };
-    let promises_not_run = matches!(answer.status, 408 | 421 | 429 | 503);
-    if promises_not_run && !may_repeat {
+    let claims_not_run = matches!(response.status, 408 | 421 | 429 | 503);
+    if claims_not_run && !is_retryable {
         assert_eq!(runs, 0, "seed {seed}: {attempt} {path} was refused and ran");
     }
-    if answer.status != 200 {
+    if response.status != 200 {
         return;
     }
-    let text = answer.text();
+    let text = response.text();
     let expected = match *path {
-        "/chat/1" | "/draft/1" => (0..EVENTS).map(event_text).collect(),
+        "/chat/1" | "/draft/1" => (0..EVENT_COUNT).map(event_text).collect(),
         _ => attempt.clone(),
     };
     // The script that sends a second answer gives the first one this body.
     let is_own = text == expected || text == "answer";
-    match answer.is_whole {
+    match response.is_complete {
         true => assert!(is_own, "seed {seed}: {attempt} {path} got {text:?}"),
         false => assert!(
             expected.starts_with(&text),
@@ -374,67 +382,75 @@
 }
 
 fn soak(seed: u64, length: Duration) {
-    let mut world = World::new(seed);
+    let mut cluster = Cluster::new(seed);
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let ends = Arc::new(AtomicBool::new(false));
+    let is_ending = Arc::new(AtomicBool::new(false));
     let outcomes = Arc::new(Mutex::new(Vec::new()));
-    let threads: Vec<thread::JoinHandle<()>> = (0..CALLERS)
+    let threads: Vec<thread::JoinHandle<()>> = (0..CALLER_COUNT)
         .map(|caller| {
-            let callers = Arc::clone(&world.callers);
-            let ends = Arc::clone(&ends);
+            let caller_addresses = Arc::clone(&cluster.caller_addresses);
+            let is_ending = Arc::clone(&is_ending);
             let outcomes = Arc::clone(&outcomes);
             let caller_seed = seed.wrapping_mul(1_000) + caller;
-            thread::spawn(move || call(caller_seed, &callers, &ends, &outcomes))
+            thread::spawn(move || {
+                send_requests(caller_seed, &caller_addresses, &is_ending, &outcomes)
+            })
         })
         .collect();
 
     let deadline = Instant::now() + length;
     while Instant::now() < deadline {
-        world.fault(&mut random);
-        thread::sleep(Duration::from_millis(pick(&mut random, 300)));
+        cluster.inject_fault(&mut random);
+        thread::sleep(Duration::from_millis(random_below(&mut random, 300)));
     }
 
-    let recovery = Instant::now() + RECOVERY;
-    for (index, address) in world.callers.lock().expect("no panic").iter().enumerate() {
+    let recovery = Instant::now() + RECOVERY_LIMIT;
+    for (index, address) in cluster
+        .caller_addresses
+        .lock()
+        .expect("no panic")
+        .iter()
+        .enumerate()
+    {
         let address = address.expect("every host was started again");
         wait_until("a host serves again", || {
             let request = Request::get("/read/1").with_attempt(&format!("r-{index}"), LIMIT_MS);
-            let answer = request.try_send(address);
+            let response = request.try_send(address);
             assert!(
                 Instant::now() < recovery,
                 "seed {seed}: {index} does not serve"
             );
-            answer.is_some_and(|answer| answer.status == 200)
+            response.is_some_and(|response| response.status == 200)
         });
     }
-    ends.store(true, Ordering::Relaxed);
+    is_ending.store(true, Ordering::Relaxed);
     for thread in threads {
         thread.join().expect("a caller ends");
     }
-    let counts = runs(&world.endpoints);
+    let counts = runs(&cluster.endpoints);
     let outcomes = outcomes.lock().expect("no panic");
     for outcome in outcomes.iter() {
         let runs = counts.get(&outcome.attempt).copied().unwrap_or(0);
         check_outcome(seed, outcome, runs);
     }
-    for log in &world.old_logs {
+    for log in &cluster.ended_logs {
         check_versions(seed, log);
     }
-    for host in world.hosts.iter().flatten() {
+    for host in cluster.hosts.iter().flatten() {
         check_versions(seed, &host.log());
     }
-    let good = outcomes
+    let complete_count = outcomes
         .iter()
-        .filter_map(|outcome| outcome.answer.as_ref())
-        .filter(|answer| answer.status == 200 && answer.is_whole)
+        .filter_map(|outcome| outcome.response.as_ref())
+        .filter(|response| response.status == 200 && response.is_complete)
         .count();
     println!(
-        "seed {seed}: {} requests, {good} answered whole",
+        "seed {seed}: {} requests, {complete_count} answered whole",
         outcomes.len()
     );
     assert!(
-        good * 2 > outcomes.len(),
-        "seed {seed}: only {good} of {}",
+        complete_count * 2 > outcomes.len(),
+        "seed {seed}: only {complete_count} of {}",
         outcomes.len()
     );
 }
@@ -447,7 +463,7 @@
     let seconds = std::env::var("SOAK_SECONDS")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(DEFAULT_SECONDS);
+        .unwrap_or(DEFAULT_LENGTH_S);
     let seeds: Vec<u64> = std::env::var("SOAK_SEEDS").map_or(DEFAULT_SEEDS.to_vec(), |text| {
         text.split(',')
             .filter_map(|seed| seed.parse().ok())
--- a/tests/gatewayenv/mod.rs
+++ b/tests/gatewayenv/mod.rs
@@ -45,21 +45,21 @@
 use tempfile::TempDir;
 
 /// Longest wait for something that should happen at once.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(10);
 /// Name of the host in requests.
-pub const SITE: &str = "shop.example";
+pub const SITE_HOST: &str = "shop.example";
 
 /// A gateway host as a process.
 pub struct Host {
     child: Child,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where callers ask which hosts to use.
-    pub directory: SocketAddr,
+    pub directory_address: SocketAddr,
     /// Where the platform asks whether the host takes requests.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Where metrics are served.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     log_path: PathBuf,
     settings: PathBuf,
     _directory: TempDir,
@@ -143,10 +143,10 @@
             .expect("the host starts");
         Self {
             child,
-            callers: ports[0],
-            ready: ports[1],
-            directory: ports[2],
-            metrics: ports[4],
+            caller_address: ports[0],
+            ready_address: ports[1],
+            directory_address: ports[2],
+            metrics_address: ports[4],
             log_path,
             settings,
             _directory: directory,
@@ -160,8 +160,8 @@
 
     /// Whether the host says that it takes requests.
     pub fn is_ready(&self) -> bool {
-        let answer = Request::get("/cardamombridge/readyz").try_send(self.ready);
-        answer.is_some_and(|answer| answer.status == 200)
+        let response = Request::get("/cardamombridge/readyz").try_send(self.ready_address);
+        response.is_some_and(|response| response.status == 200)
     }
 
     /// What the host logged so far.
@@ -236,7 +236,7 @@
 where
     F: FnMut() -> bool,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !holds() {
         assert!(Instant::now() < deadline, "timed out: {what}");
         thread::sleep(Duration::from_millis(10));
@@ -254,7 +254,7 @@
 
 /// What a caller received.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: u16,
     /// Head as text.
@@ -262,10 +262,10 @@
     /// Body without transfer coding.
     pub body: Vec<u8>,
     /// The end of the body arrived.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     /// Value of a header field.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
@@ -302,19 +302,22 @@
 
     /// Names the attempt and its time limit.
     pub fn with_attempt(self, attempt: &str, limit_ms: u64) -> Self {
-        self.with("X-Attempt-Id", attempt)
-            .with("X-Deadline-Ms", &limit_ms.to_string())
+        self.with_header("X-Attempt-Id", attempt)
+            .with_header("X-Deadline-Ms", &limit_ms.to_string())
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.into(), value.into()));
         self
     }
 
     /// The request as it is sent.
     pub fn bytes(&self) -> Vec<u8> {
-        let mut text = format!("{} {} HTTP/1.1\r\nHost: {SITE}\r\n", self.method, self.path);
+        let mut text = format!(
+            "{} {} HTTP/1.1\r\nHost: {SITE_HOST}\r\n",
+            self.method, self.path
+        );
         for (name, value) in &self.headers {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
@@ -328,26 +331,26 @@
     }
 
     /// Sends the request on a connection of its own and reads the answer.
-    pub fn send(&self, address: SocketAddr) -> Answer {
+    pub fn send(&self, address: SocketAddr) -> Response {
         self.try_send(address).expect("an answer")
     }
 
     /// Like `send`, but the host may be gone.
-    pub fn try_send(&self, address: SocketAddr) -> Option<Answer> {
+    pub fn try_send(&self, address: SocketAddr) -> Option<Response> {
         let mut stream = TcpStream::connect(address).ok()?;
         stream.write_all(&self.bytes()).ok()?;
-        read_answer(&mut stream)
+        read_response(&mut stream)
     }
 }
 
 /// Reads one answer; none if the connection ends before its head.
-pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
-    read_next_answer(stream, &mut Vec::new())
+pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
+    read_next_response(stream, &mut Vec::new())
 }
 
 /// Reads one of several answers on a connection; `read` holds what was read from
 /// it beyond the answer before, and then beyond this one.
-pub fn read_next_answer(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Answer> {
+pub fn read_next_response(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Response> {
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .expect("a time limit");
@@ -367,7 +370,7 @@
     let mut input = bytes.split_off(length);
     let mut decoder = cardamombridge::gateway::body::BodyDecoder::new(head.framing);
     let mut body = Vec::new();
-    let is_whole = loop {
+    let is_complete = loop {
         let used = decoder.decode(&input, &mut body).expect("a proper body");
         input.drain(..used);
         if decoder.is_done() {
@@ -379,11 +382,11 @@
         }
     };
     *read = input;
-    Some(Answer {
+    Some(Response {
         status: head.status,
         head: text,
         body,
-        is_whole,
+        is_complete,
     })
 }
 
@@ -419,7 +422,7 @@
 /// A route at the path of its name.
 pub fn route(name: &str, kind: &str, attempts: u32, is_resumable: bool) -> Value {
     json!({
-        "name": name, "host": SITE, "prefix": format!("/{name}/"), "kind": kind,
+        "name": name, "host": SITE_HOST, "prefix": format!("/{name}/"), "kind": kind,
         "timeout_ms": 5000, "goal_ms": 800, "prio": 1, "backend": "desk",
         "max_attempts": attempts, "sticky": false, "resumable": is_resumable,
         "gap_goal_ms": 400, "home_regions": [],
