--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -15,11 +15,11 @@
 
 use super::{
     configuration::Service,
+    load_updates::SentPrompt,
     request::{
         Call,
         EndpointLoad, //
-    },
-    sharing::SentPrompt, //
+    }, //
 };
 
 /// Weight of a new observation in a moving average.
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -30,11 +30,11 @@
         slots_of, //
     },
     hosts::RegionView,
-    request::Call,
-    sharing::{
+    load_updates::{
         EndpointBlock,
         SentPrompt, //
-    }, //
+    },
+    request::Call, //
 };
 
 /// Time until a first event without any prompt to read: the shortest that a
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -18,8 +18,8 @@
 use crossbeam::channel::Receiver;
 
 use super::{
-    belief::Belief,
-    peer_news::fetch_news, //
+    peer_changes::fetch_changes,
+    store_replica::StoreReplica, //
 };
 use crate::platform::store::{
     ItemChange,
@@ -46,17 +46,17 @@
 pub struct StoreFollower {
     quick: StoreClient,
     patient: StoreClient,
-    belief: Belief,
+    replica: StoreReplica,
     is_reachable: Option<bool>,
 }
 
 impl StoreFollower {
     /// A follower of the store at `address`.
-    pub fn new(address: SocketAddr, belief: Belief) -> Self {
+    pub fn new(address: SocketAddr, replica: StoreReplica) -> Self {
         Self {
             quick: StoreClient::new(address, ANSWER_TIMEOUT),
             patient: StoreClient::new(address, WATCH_WAIT + ANSWER_TIMEOUT),
-            belief,
+            replica,
             is_reachable: None,
         }
     }
@@ -94,7 +94,7 @@
 
     fn synchronise(&mut self) -> Result<StoreRevision, StoreError> {
         let page = self.quick.range("")?;
-        let gone = self.belief.keys_besides(&page.changes);
+        let gone = self.replica.keys_missing_from(&page.changes);
         let deletions = gone.into_iter().map(|key| ItemChange {
             key,
             revision: page.revision,
@@ -102,7 +102,7 @@
         });
         let revision = page.revision;
         let changes = page.changes.into_iter().chain(deletions).collect();
-        self.belief.apply(changes, revision);
+        self.replica.apply(changes, revision);
         Ok(revision)
     }
 
@@ -114,7 +114,7 @@
         let page = self.patient.watch("", revision, WATCH_WAIT)?;
         let newest = page.changes.iter().map(|change| change.revision).max();
         let revision = newest.unwrap_or(revision).max(revision);
-        self.belief.apply(page.changes, revision);
+        self.replica.apply(page.changes, revision);
         Ok(revision)
     }
 
@@ -128,7 +128,7 @@
             tracing::warn!(dependency = "store", cause, "dependency lost");
         }
         self.is_reachable = Some(is_reachable);
-        self.belief.report_store(is_reachable);
+        self.replica.report_store_reachable(is_reachable);
     }
 }
 
@@ -143,10 +143,10 @@
 }
 
 /// Asks the hosts whose addresses arrive through `behind` for what they know.
-pub fn follow_peers(belief: &Belief, behind: &Receiver<SocketAddr>) {
+pub fn fetch_from_peers(replica: &StoreReplica, behind: &Receiver<SocketAddr>) {
     while let Ok(peer) = behind.recv() {
-        let known = belief.revision();
-        match fetch_news(peer, known) {
+        let known = replica.revision();
+        match fetch_changes(peer, known) {
             Ok(news) => {
                 tracing::info!(
                     %peer,
@@ -156,7 +156,7 @@
                     "learned from another host"
                 );
                 if news.revision > known {
-                    belief.apply(news.changes, news.revision);
+                    replica.apply(news.changes, news.revision);
                 }
             }
             Err(error) => tracing::debug!(%peer, %error, "another host did not tell its news"),
--- a/src/gateway/hosts.rs
+++ b/src/gateway/hosts.rs
@@ -20,7 +20,7 @@
 
 use super::{
     endpoint::Share,
-    sharing::{
+    load_updates::{
         EndpointShare,
         LoadUpdate, //
     }, //
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -8,7 +8,6 @@
 
 pub mod admission;
 pub mod answer;
-pub mod belief;
 pub mod body;
 pub mod configuration;
 pub mod connection;
@@ -19,8 +18,8 @@
 pub mod follower;
 pub mod head;
 pub mod hosts;
-mod news;
-pub mod peer_news;
+pub mod load_updates;
+pub mod peer_changes;
 pub mod reactor;
 pub mod registration;
 pub mod request;
@@ -32,6 +31,7 @@
 mod serve_exchange;
 mod serve_sending;
 pub mod settings;
-pub mod sharing;
 pub mod start;
+mod state_updates;
+pub mod store_replica;
 pub mod telemetry;
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -54,10 +54,6 @@
 use slab::Slab;
 
 use super::{
-    belief::{
-        Belief,
-        Update, //
-    },
     configuration::Configuration,
     connection::{
         Client,
@@ -71,9 +67,13 @@
         Hosts,
         RegionView, //
     },
+    load_updates::PendingUpdate,
     retry_budget::RetryBudget,
     settings::GatewaySettings,
-    sharing::PendingUpdate,
+    store_replica::{
+        StoreReplica,
+        Update, //
+    },
     telemetry::Telemetry, //
 };
 
@@ -138,7 +138,7 @@
     pub(super) leave_started_ms: Option<u64>,
     pub(super) reload: Option<Box<dyn Fn() -> Option<GatewaySettings>>>,
     /// What the host believes, to tell other hosts.
-    pub(super) belief: Option<Belief>,
+    pub(super) replica: Option<StoreReplica>,
     /// Hosts to ask because they know more.
     pub(super) behind: Option<Sender<SocketAddr>>,
     /// When the host fell behind, and the revision it knew.
@@ -223,7 +223,7 @@
             is_synchronised: false,
             leave_started_ms: None,
             reload: None,
-            belief: None,
+            replica: None,
             behind: None,
             behind_since: None,
             store_back_ms: None,
@@ -253,8 +253,8 @@
     }
 
     /// Sets what the host believes and where it asks others for more.
-    pub fn set_belief(&mut self, belief: Belief, behind: Sender<SocketAddr>) {
-        self.belief = Some(belief);
+    pub fn set_replica(&mut self, replica: StoreReplica, behind: Sender<SocketAddr>) {
+        self.replica = Some(replica);
         self.behind = Some(behind);
     }
 
--- a/src/gateway/serve_caller.rs
+++ b/src/gateway/serve_caller.rs
@@ -25,9 +25,9 @@
         RequestHead,
         parse_request, //
     },
-    peer_news::{
-        NEWS_PATH,
-        tell_news, //
+    peer_changes::{
+        CHANGES_PATH,
+        encode_changes, //
     },
     reactor::Reactor, //
 };
@@ -132,7 +132,7 @@
         }
         match client.role {
             Role::Caller => self.handle_call(key, head, body, None),
-            Role::Peer if head.path() == NEWS_PATH => self.answer_news(key, head.query()),
+            Role::Peer if head.path() == CHANGES_PATH => self.answer_news(key, head.query()),
             Role::Peer => match head.header(FORWARD_HEADER).and_then(Plan::decode) {
                 Some(plan) => self.handle_call(key, head, body, Some(plan)),
                 None => self.answer_own(key, OwnAnswer::plain(400)),
@@ -240,7 +240,10 @@
     }
 
     fn answer_news(&mut self, key: usize, query: &str) {
-        let news = self.belief.as_ref().map(|belief| tell_news(belief, query));
+        let news = self
+            .replica
+            .as_ref()
+            .map(|replica| encode_changes(replica, query));
         match news {
             Some(Ok(bytes)) => {
                 let answer = OwnAnswer::plain(200);
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -34,18 +34,18 @@
 };
 
 use super::{
-    belief::{
-        Belief,
-        Update,
-        UpdateSender, //
-    },
     follower::{
         StoreFollower,
-        follow_peers, //
+        fetch_from_peers, //
     },
     reactor::Reactor,
     registration::Registration,
     settings::GatewaySettings,
+    store_replica::{
+        StoreReplica,
+        Update,
+        UpdateSender, //
+    },
     telemetry::Telemetry, //
 };
 use crate::logs;
@@ -71,9 +71,9 @@
         .context("could not open the sockets")?
         .with_reload(Box::new(move || reload(&reread)));
     let updates = UpdateSender::new(sender, reactor.waker()?);
-    let belief = Belief::new(updates.clone());
+    let replica = StoreReplica::new(updates.clone());
     let (behind, asked) = bounded(1);
-    reactor.set_belief(belief.clone(), behind);
+    reactor.set_replica(replica.clone(), behind);
     let is_stopping = Arc::new(AtomicBool::new(false));
     tracing::info!(
         host = %settings.host.name,
@@ -90,7 +90,7 @@
     let host_count = reactor.host_count();
     spawn_followers(
         &settings,
-        belief,
+        replica,
         asked,
         Arc::clone(&is_stopping),
         host_count,
@@ -146,15 +146,15 @@
 
 fn spawn_followers(
     settings: &GatewaySettings,
-    belief: Belief,
+    replica: StoreReplica,
     asked: Receiver<SocketAddr>,
     is_stopping: Arc<AtomicBool>,
     host_count: Arc<AtomicU64>,
 ) -> anyhow::Result<()> {
-    let mut follower = StoreFollower::new(settings.store_address, belief.clone());
+    let mut follower = StoreFollower::new(settings.store_address, replica.clone());
     thread::Builder::new()
         .name("peer-news".into())
-        .spawn(move || follow_peers(&belief, &asked))?;
+        .spawn(move || fetch_from_peers(&replica, &asked))?;
     thread::Builder::new()
         .name("store".into())
         .spawn(move || follower.run(&is_stopping, &host_count))?;
--- a/src/gateway/news.rs
+++ b/src/gateway/state_updates.rs
@@ -5,18 +5,18 @@
 use compact_str::CompactString;
 
 use super::{
-    belief::Update,
     configuration::Configuration,
     hosts::{
         Beacon,
         QueueLoad,
         ServiceLoad, //
     },
-    reactor::Reactor,
-    sharing::{
+    load_updates::{
         EndpointShare,
         Packet, //
-    }, //
+    },
+    reactor::Reactor,
+    store_replica::Update, //
 };
 
 /// Largest packet; it fits into one packet on common links.
@@ -70,7 +70,7 @@
                     tracing::warn!(endpoint = %id, "endpoint is in an unknown data centre");
                 }
             }
-            Update::EndpointGone(id) => {
+            Update::EndpointRemoved(id) => {
                 let delay_ms = self.withdrawal_delay_ms(now_ms);
                 tracing::info!(endpoint = %id, delay_ms, "endpoint is no longer announced");
                 self.fleet.withdraw(&id, now_ms + delay_ms);
@@ -85,11 +85,11 @@
                 tracing::info!(host = %info.name, "host registered");
                 self.hosts.register(info);
             }
-            Update::HostGone(name) => {
+            Update::HostRemoved(name) => {
                 tracing::info!(host = %name, "host is no longer registered");
                 self.hosts.unregister(&name);
             }
-            Update::Store(is_reachable) => {
+            Update::StoreReachable(is_reachable) => {
                 self.hosts.set_store_reachable(is_reachable);
                 self.store_back_ms = is_reachable.then_some(now_ms);
             }
@@ -202,8 +202,8 @@
     }
 
     fn known_revision(&self) -> u64 {
-        let belief = self.belief.as_ref();
-        belief.map_or(0, |belief| belief.revision().0)
+        let replica = self.replica.as_ref();
+        replica.map_or(0, |replica| replica.revision().0)
     }
 
     /// Asks a host for its news if it has known more for some time.
--- a/src/gateway/belief.rs
+++ b/src/gateway/store_replica.rs
@@ -1,7 +1,7 @@
 //! What a host believes about configuration, endpoints and hosts.
 //!
 //! The belief is a copy of the store's items with their revisions. It changes
-//! through [`Belief::apply`] alone, whether a change comes from the store or
+//! through [`StoreReplica::apply`] alone, whether a change comes from the store or
 //! from another host, and an item never goes back to an earlier revision. Each
 //! change is decoded once and sent to the reactor.
 //!
@@ -57,15 +57,15 @@
     /// An endpoint announces itself.
     Endpoint(CompactString, Announcement),
     /// An endpoint is no longer announced.
-    EndpointGone(CompactString),
+    EndpointRemoved(CompactString),
     /// A data centre is evacuated, or no longer.
     Evacuated(CompactString, bool),
     /// A host registered.
     Host(HostInfo),
     /// A host's item is gone.
-    HostGone(CompactString),
+    HostRemoved(CompactString),
     /// The store answers, or no longer.
-    Store(bool),
+    StoreReachable(bool),
     /// The whole content of the store was read once.
     Synchronised,
     /// The process is asked to stop.
@@ -108,12 +108,12 @@
 
 /// The belief of a host, shared by the threads that change it.
 #[derive(Clone)]
-pub struct Belief {
+pub struct StoreReplica {
     content: Arc<Mutex<Content>>,
     updates: UpdateSender,
 }
 
-impl Belief {
+impl StoreReplica {
     /// Knows nothing; sends changes through `updates`.
     pub fn new(updates: UpdateSender) -> Self {
         Self {
@@ -132,7 +132,7 @@
     }
 
     /// Items changed after `revision`, for another host.
-    pub fn news_after(&self, revision: StoreRevision) -> Page {
+    pub fn changes_after(&self, revision: StoreRevision) -> Page {
         let content = self.lock();
         let changes = content
             .entries
@@ -151,7 +151,7 @@
     }
 
     /// Keys that exist and are not among `present`.
-    pub fn keys_besides(&self, present: &[ItemChange]) -> Vec<CompactString> {
+    pub fn keys_missing_from(&self, present: &[ItemChange]) -> Vec<CompactString> {
         let content = self.lock();
         content
             .entries
@@ -185,8 +185,8 @@
             let before = known.and_then(|(_, value)| value.clone());
             let is_new = before != change.value;
             let update = match &change.value {
-                Some(value) if is_new => decode(&change.key, value, change.revision),
-                None if is_new => deletion(&change.key),
+                Some(value) if is_new => decode_update(&change.key, value, change.revision),
+                None if is_new => deletion_update(&change.key),
                 _ => None,
             };
             content
@@ -197,7 +197,7 @@
                 self.updates.send(update);
             }
         }
-        forget_deleted(&mut content.entries);
+        prune_deletions(&mut content.entries);
         content.revision = content.revision.max(revision);
         if !content.is_synchronised {
             content.is_synchronised = true;
@@ -206,13 +206,13 @@
     }
 
     /// Tells the reactor whether the store answers.
-    pub fn report_store(&self, is_reachable: bool) {
-        self.updates.send(Update::Store(is_reachable));
+    pub fn report_store_reachable(&self, is_reachable: bool) {
+        self.updates.send(Update::StoreReachable(is_reachable));
     }
 }
 
 /// Drops the oldest deletions beyond the limit.
-fn forget_deleted(entries: &mut BTreeMap<CompactString, (StoreRevision, Option<Vec<u8>>)>) {
+fn prune_deletions(entries: &mut BTreeMap<CompactString, (StoreRevision, Option<Vec<u8>>)>) {
     let mut deleted: Vec<StoreRevision> = entries
         .values()
         .filter(|(_, value)| value.is_none())
@@ -226,18 +226,18 @@
     entries.retain(|_, (changed, value)| value.is_some() || *changed >= limit);
 }
 
-fn deletion(key: &str) -> Option<Update> {
+fn deletion_update(key: &str) -> Option<Update> {
     if let Some(id) = key.strip_prefix(ENDPOINT_PREFIX) {
-        return Some(Update::EndpointGone(id.into()));
+        return Some(Update::EndpointRemoved(id.into()));
     }
     if let Some(name) = key.strip_prefix(EVACUATION_PREFIX) {
         return Some(Update::Evacuated(name.into(), false));
     }
     let name = key.strip_prefix(HOST_PREFIX)?;
-    Some(Update::HostGone(name.into()))
+    Some(Update::HostRemoved(name.into()))
 }
 
-fn decode(key: &str, value: &[u8], revision: StoreRevision) -> Option<Update> {
+fn decode_update(key: &str, value: &[u8], revision: StoreRevision) -> Option<Update> {
     let decoded = if key == CONFIGURATION_KEY {
         decode_configuration(value)
             .map(|configuration| Update::Configuration(Arc::new(configuration)))
@@ -248,7 +248,7 @@
             Ok(announcement) => Ok(Update::Endpoint(id.into(), announcement)),
             Err(error) => {
                 tracing::warn!(key, revision = revision.0, %error, "item is unusable");
-                Ok(Update::EndpointGone(id.into()))
+                Ok(Update::EndpointRemoved(id.into()))
             }
         }
     } else if let Some(name) = key.strip_prefix(EVACUATION_PREFIX) {
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -37,6 +37,13 @@
             Hosts,
             RegionView, //
         },
+        load_updates::{
+            EndpointBlock,
+            EndpointShare,
+            LoadUpdate,
+            Packet,
+            PendingUpdate, //
+        },
         request::{
             Call,
             PromptPart, //
@@ -44,16 +51,9 @@
         retry_budget::{
             RetryBounds,
             RetryBudget, //
-        },
-        sharing::{
-            EndpointBlock,
-            EndpointShare,
-            LoadUpdate,
-            Packet,
-            PendingUpdate, //
         }, //
     },
-    types::Tokens,
+    types::Tokens, //
 };
 use compact_str::{
     CompactString,
