--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -34,7 +34,7 @@
 /// How long a reported load is believed.
 const REPORT_LIFETIME_MS: u64 = 1_000;
 /// Time over which the reading of an endpoint is averaged: the run of a stream.
-const READ_FADE_MS: f64 = 2_000.0;
+const PREFILL_DECAY_MS: f64 = 2_000.0;
 /// Parts remembered for one endpoint; older ones are forgotten first.
 const MAX_PARTS: usize = 512;
 /// Slowness is kept in this range, so that one observation cannot exclude an
@@ -96,29 +96,29 @@
 
 /// What one host has at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Share {
+pub struct LoadShare {
     /// Requests in progress.
     pub active: u32,
     /// Prompt tokens of requests without a first event.
     pub backlog_tokens: u64,
     /// Tokens of all requests in progress.
-    pub held_tokens: u64,
+    pub reserved_tokens: u64,
 }
 
-impl Share {
+impl LoadShare {
     /// Adds another share.
-    pub fn add(&mut self, other: Share) {
+    pub fn add(&mut self, other: LoadShare) {
         self.active += other.active;
         self.backlog_tokens += other.backlog_tokens;
-        self.held_tokens += other.held_tokens;
+        self.reserved_tokens += other.reserved_tokens;
     }
 }
 
 /// A prompt part that an endpoint has read, or will have read soon.
 #[derive(Debug, Clone, Copy)]
-struct KnownPart {
+struct CachedPart {
     /// Tokens that requests had taken in the endpoint's memory at its last use.
-    used_at_tokens: u64,
+    last_used_at_tokens: u64,
     /// When the endpoint has read it.
     read_at_ms: u64,
 }
@@ -137,9 +137,9 @@
     /// When its announcement ends; after that it only finishes its work.
     withdrawn_at_ms: Option<u64>,
     /// What this host sent.
-    pub own: Share,
+    pub own_load: LoadShare,
     /// What the other hosts of the region say they sent.
-    pub others: Share,
+    pub peer_load: LoadShare,
     cold_until_ms: u64,
     last_cold_send_ms: Vec<u64>,
     reported: Option<(u64, EndpointLoad)>,
@@ -149,12 +149,12 @@
     blocked_until_ms: u64,
     block_ms: u64,
     on_trial: bool,
-    parts: HashMap<u64, KnownPart>,
-    /// Prompt tokens that all hosts sent lately, fading with [`READ_FADE_MS`].
+    parts: HashMap<u64, CachedPart>,
+    /// Prompt tokens that all hosts sent lately, fading with [`PREFILL_DECAY_MS`].
     recent_read_tokens: f64,
     recent_read_at_ms: u64,
     /// Tokens that requests of all hosts took up in the endpoint's memory.
-    taken_tokens: u64,
+    total_reserved_tokens: u64,
 }
 
 impl Endpoint {
@@ -172,8 +172,8 @@
             cold_until_ms: now_ms + announcement.cold_left_ms,
             announcement,
             withdrawn_at_ms: None,
-            own: Share::default(),
-            others: Share::default(),
+            own_load: LoadShare::default(),
+            peer_load: LoadShare::default(),
             last_cold_send_ms: Vec::new(),
             reported: None,
             slowness: 1.0,
@@ -185,7 +185,7 @@
             parts: HashMap::new(),
             recent_read_tokens: 0.0,
             recent_read_at_ms: 0,
-            taken_tokens: 0,
+            total_reserved_tokens: 0,
         }
     }
 
@@ -196,9 +196,9 @@
         let is_restarted = announcement.started_ms != self.announcement.started_ms
             || announcement.address != self.announcement.address;
         if is_restarted {
-            let own = self.own;
+            let own = self.own_load;
             *self = Self::new(self.id.clone(), self.region.clone(), announcement, now_ms);
-            self.own = own;
+            self.own_load = own;
             return;
         }
         self.withdrawn_at_ms = None;
@@ -234,7 +234,7 @@
         self.is_listed(now_ms)
             && self.announcement.stage == Stage::Ready
             && now_ms >= self.blocked_until_ms
-            && !(self.on_trial && self.own.active > 0)
+            && !(self.on_trial && self.own_load.active > 0)
     }
 
     /// Whether one more request may be sent in this second to a cold endpoint.
@@ -249,10 +249,10 @@
 
     /// Records that a request was sent.
     pub fn start(&mut self, work: Work, now_ms: u64) {
-        self.own.active += 1;
-        self.own.backlog_tokens += work.uncached_tokens;
-        self.own.held_tokens += work.held_tokens;
-        self.taken_tokens += work.held_tokens;
+        self.own_load.active += 1;
+        self.own_load.backlog_tokens += work.uncached_tokens;
+        self.own_load.reserved_tokens += work.reserved_tokens;
+        self.total_reserved_tokens += work.reserved_tokens;
         self.record_read(work.uncached_tokens, now_ms);
         if self.is_cold(now_ms) {
             self.last_cold_send_ms
@@ -263,13 +263,19 @@
 
     /// Records that a request's prompt has been read.
     pub fn first_event(&mut self, work: Work) {
-        self.own.backlog_tokens = self.own.backlog_tokens.saturating_sub(work.uncached_tokens);
+        self.own_load.backlog_tokens = self
+            .own_load
+            .backlog_tokens
+            .saturating_sub(work.uncached_tokens);
     }
 
     /// Records that a request has ended.
     pub fn finish(&mut self, work: Work, had_first_event: bool) {
-        self.own.active = self.own.active.saturating_sub(1);
-        self.own.held_tokens = self.own.held_tokens.saturating_sub(work.held_tokens);
+        self.own_load.active = self.own_load.active.saturating_sub(1);
+        self.own_load.reserved_tokens = self
+            .own_load
+            .reserved_tokens
+            .saturating_sub(work.reserved_tokens);
         if !had_first_event {
             self.first_event(work);
         }
@@ -316,8 +322,8 @@
     ///
     /// A host may be cut off alone, so requests of this host that still run at
     /// the endpoint count for more.
-    pub fn block_told(&mut self, for_ms: u64, now_ms: u64) {
-        if self.own.active > 0 {
+    pub fn apply_peer_block(&mut self, for_ms: u64, now_ms: u64) {
+        if self.own_load.active > 0 {
             return;
         }
         let until_ms = now_ms + for_ms.min(MAX_BLOCK_MS);
@@ -332,7 +338,7 @@
 
     /// Requests at the endpoint, from all that is known.
     pub fn load(&self, now_ms: u64) -> f64 {
-        let known = f64::from(self.own.active + self.others.active);
+        let known = f64::from(self.own_load.active + self.peer_load.active);
         match self.reported {
             Some((at_ms, load)) if now_ms < at_ms + REPORT_LIFETIME_MS => {
                 let age = (now_ms - at_ms) as f64 / REPORT_LIFETIME_MS as f64;
@@ -344,18 +350,18 @@
     }
 
     /// Remembers which parts of a prompt the endpoint has read at `read_at_ms`.
-    pub fn remember(&mut self, call: &Call, read_at_ms: u64) {
+    pub fn record_prompt(&mut self, call: &Call, read_at_ms: u64) {
         for part in &call.parts {
-            self.remember_part(part.id, read_at_ms);
+            self.record_part(part.id, read_at_ms);
         }
     }
 
     /// Remembers a prompt that another host sent.
-    pub fn remember_told(&mut self, sent: &SentPrompt, now_ms: u64) {
-        self.taken_tokens += u64::from(sent.held_tokens);
+    pub fn record_peer_prompt(&mut self, sent: &SentPrompt, now_ms: u64) {
+        self.total_reserved_tokens += u64::from(sent.reserved_tokens);
         self.record_read(u64::from(sent.read_tokens), now_ms);
         for part in &sent.parts {
-            self.remember_part(*part, now_ms + u64::from(sent.read_ms));
+            self.record_part(*part, now_ms + u64::from(sent.read_ms));
         }
     }
 
@@ -366,30 +372,30 @@
 
     fn recent_read_tokens(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.recent_read_at_ms) as f64;
-        self.recent_read_tokens * (-age_ms / READ_FADE_MS).exp()
+        self.recent_read_tokens * (-age_ms / PREFILL_DECAY_MS).exp()
     }
 
     /// Share of the time that the endpoint lately spent on reading prompts, if
     /// it needs `token_ms` for each token.
     pub fn read_share(&self, token_ms: f64, now_ms: u64) -> f64 {
-        self.recent_read_tokens(now_ms) * token_ms / READ_FADE_MS
+        self.recent_read_tokens(now_ms) * token_ms / PREFILL_DECAY_MS
     }
 
-    fn remember_part(&mut self, part: u64, read_at_ms: u64) {
+    fn record_part(&mut self, part: u64, read_at_ms: u64) {
         if self.parts.len() > MAX_PARTS {
-            let uses = self.parts.values().map(|known| known.used_at_tokens);
+            let uses = self.parts.values().map(|known| known.last_used_at_tokens);
             let mut uses: Vec<u64> = uses.collect();
             let (_, median, _) = uses.select_nth_unstable(MAX_PARTS / 2);
             let oldest_kept = *median;
             self.parts
-                .retain(|_, known| known.used_at_tokens > oldest_kept);
+                .retain(|_, known| known.last_used_at_tokens > oldest_kept);
         }
-        let used_at_tokens = self.taken_tokens;
-        let known = self.parts.entry(part).or_insert(KnownPart {
-            used_at_tokens,
+        let last_used_at_tokens = self.total_reserved_tokens;
+        let known = self.parts.entry(part).or_insert(CachedPart {
+            last_used_at_tokens,
             read_at_ms,
         });
-        known.used_at_tokens = used_at_tokens;
+        known.last_used_at_tokens = last_used_at_tokens;
         known.read_at_ms = known.read_at_ms.min(read_at_ms);
     }
 
@@ -403,7 +409,7 @@
         let is_cached = |id: &u64| {
             self.parts.get(id).is_some_and(|known| {
                 known.read_at_ms <= by_ms
-                    && self.taken_tokens < known.used_at_tokens + lifetime_tokens
+                    && self.total_reserved_tokens < known.last_used_at_tokens + lifetime_tokens
             })
         };
         call.parts
@@ -435,7 +441,7 @@
     /// Prompt tokens that the endpoint has to read.
     pub uncached_tokens: u64,
     /// Memory that the request takes.
-    pub held_tokens: u64,
+    pub reserved_tokens: u64,
 }
 
 impl Work {
@@ -445,7 +451,7 @@
         let uncached_tokens = prompt.saturating_sub(cached_tokens);
         Self {
             uncached_tokens,
-            held_tokens: uncached_tokens + call.max_output.0,
+            reserved_tokens: uncached_tokens + call.max_output.0,
         }
     }
 }
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -25,7 +25,7 @@
     endpoint::{
         Announcement,
         Endpoint,
-        Share,
+        LoadShare,
         Work,
         slots_of, //
     },
@@ -266,7 +266,7 @@
     /// Forgets endpoints that are not announced and have finished their work.
     pub fn drop_withdrawn(&mut self, now_ms: u64) {
         self.endpoints
-            .retain(|_, endpoint| endpoint.is_listed(now_ms) || endpoint.own.active > 0);
+            .retain(|_, endpoint| endpoint.is_listed(now_ms) || endpoint.own_load.active > 0);
     }
 
     /// Stops or resumes the use of a data centre's endpoints.
@@ -310,12 +310,12 @@
     }
 
     /// Replaces what the other hosts of the region have at the endpoints.
-    pub fn set_others<F>(&mut self, share_at: F)
+    pub fn set_peer_loads<F>(&mut self, share_at: F)
     where
-        F: Fn(u32) -> Share,
+        F: Fn(u32) -> LoadShare,
     {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.others = share_at(endpoint.hash);
+            endpoint.peer_load = share_at(endpoint.hash);
         }
     }
 
@@ -325,16 +325,16 @@
     }
 
     /// Takes over that another host of the region cannot use an endpoint.
-    pub fn block_told(&mut self, block: &EndpointBlock, now_ms: u64) {
+    pub fn apply_peer_block(&mut self, block: &EndpointBlock, now_ms: u64) {
         if let Some(endpoint) = self.get_by_hash(block.endpoint) {
-            endpoint.block_told(u64::from(block.for_ms), now_ms);
+            endpoint.apply_peer_block(u64::from(block.for_ms), now_ms);
         }
     }
 
     /// Remembers a prompt that another host of the region sent.
-    pub fn remember_told(&mut self, sent: &SentPrompt, now_ms: u64) {
+    pub fn record_peer_prompt(&mut self, sent: &SentPrompt, now_ms: u64) {
         if let Some(endpoint) = self.get_by_hash(sent.endpoint) {
-            endpoint.remember_told(sent, now_ms);
+            endpoint.record_peer_prompt(sent, now_ms);
         }
     }
 
@@ -436,7 +436,7 @@
         let run_ms = self.run_ms(service);
         let token_ms = self.token_ms(service, load);
         let waiting = (load + 1.0 - slots).max(0.0) / slots * run_ms;
-        let backlog_tokens = endpoint.own.backlog_tokens + endpoint.others.backlog_tokens;
+        let backlog_tokens = endpoint.own_load.backlog_tokens + endpoint.peer_load.backlog_tokens;
         let backlog_ms = endpoint.slowness() * (backlog_tokens as f64 * token_ms + waiting)
             + self.memory_wait_ms(endpoint, service, work, run_ms);
         let own_ms = match service.engine {
@@ -533,7 +533,9 @@
             return 0.0;
         };
         let memory = engine.memory_tokens;
-        let held = endpoint.own.held_tokens + endpoint.others.held_tokens + work.held_tokens;
+        let held = endpoint.own_load.reserved_tokens
+            + endpoint.peer_load.reserved_tokens
+            + work.reserved_tokens;
         let excess = held as f64 / (memory as f64 * MEMORY_SHARE) - 1.0;
         excess.max(0.0) * run_ms
     }
--- a/src/gateway/hosts.rs
+++ b/src/gateway/hosts.rs
@@ -19,9 +19,9 @@
 };
 
 use super::{
-    endpoint::Share,
+    endpoint::LoadShare,
     load_updates::{
-        EndpointShare,
+        EndpointLoadShare,
         LoadUpdate, //
     }, //
 };
@@ -81,7 +81,7 @@
     /// The sender is shutting down.
     pub is_leaving: bool,
     /// Requests in progress, by a hash of the endpoint's id; to its own region.
-    pub shares: Vec<EndpointShare>,
+    pub shares: Vec<EndpointLoadShare>,
     /// Work that waits at the sender, by service; to its own region.
     pub queues: Vec<QueueLoad>,
     /// Loads of the sender's region; to other regions.
@@ -104,7 +104,7 @@
     is_leaving: bool,
     run: (u64, u64),
     heard_ms: Option<u64>,
-    shares: BTreeMap<u32, Share>,
+    shares: BTreeMap<u32, LoadShare>,
     queues: Vec<QueueLoad>,
 }
 
@@ -197,7 +197,7 @@
     }
 
     /// Takes over a beacon; false if it is older than one seen before.
-    pub fn hear(&mut self, beacon: Beacon, now_ms: u64) -> bool {
+    pub fn apply_beacon(&mut self, beacon: Beacon, now_ms: u64) -> bool {
         if beacon.host.name == self.own.name {
             return false;
         }
@@ -234,7 +234,7 @@
 
     /// Takes over an update; false if it is older than a packet seen before, or
     /// of a host that has sent no beacon yet.
-    pub fn hear_update(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
+    pub fn apply_load_update(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
         let Some(known) = self.known.get_mut(&update.host) else {
             return false;
         };
@@ -255,8 +255,8 @@
 
     /// What all other hosts of the region have at each endpoint, by the hash of
     /// the endpoint's id.
-    pub fn shares_of_others(&self, now_ms: u64) -> HashMap<u32, Share> {
-        let mut totals: HashMap<u32, Share> = HashMap::new();
+    pub fn peer_load_shares(&self, now_ms: u64) -> HashMap<u32, LoadShare> {
+        let mut totals: HashMap<u32, LoadShare> = HashMap::new();
         for known in self.known.values() {
             if !is_heard(known, now_ms) {
                 continue;
@@ -273,7 +273,7 @@
     }
 
     /// Work that waits for a service at the other hosts of the region.
-    pub fn queue_of_others_ms(&self, service: &str, now_ms: u64) -> f64 {
+    pub fn peer_queue_ms(&self, service: &str, now_ms: u64) -> f64 {
         self.known
             .values()
             .filter(|known| is_heard(known, now_ms))
@@ -410,9 +410,9 @@
 
 /// A share as it probably is some time after it was told: prompts are read in
 /// the meantime.
-fn faded(share: Share, age_ms: u64) -> Share {
+fn faded(share: LoadShare, age_ms: u64) -> LoadShare {
     let left_ms = BACKLOG_LIFETIME_MS.saturating_sub(age_ms);
-    Share {
+    LoadShare {
         backlog_tokens: share.backlog_tokens * left_ms / BACKLOG_LIFETIME_MS,
         ..share
     }
--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -15,7 +15,7 @@
 };
 
 use super::{
-    endpoint::Share,
+    endpoint::LoadShare,
     fleet::Choice,
     hosts::Beacon,
     reactor::Reactor,
@@ -42,7 +42,7 @@
     /// The regular one, to all regions.
     Beacon(Beacon),
     /// Changes since the last one, to the own region.
-    Update(LoadUpdate),
+    LoadUpdate(LoadUpdate),
 }
 
 /// Changes of what a host has at endpoints.
@@ -55,7 +55,7 @@
     /// Number of the packet in this run.
     pub sequence: u64,
     /// Loads that changed, as they are now.
-    pub shares: Vec<EndpointShare>,
+    pub shares: Vec<EndpointLoadShare>,
     /// Prompts that were sent.
     pub sends: Vec<SentPrompt>,
     /// Endpoints that turned out to be gone.
@@ -73,7 +73,7 @@
 
 /// What a host has at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointShare {
+pub struct EndpointLoadShare {
     /// Hash of the endpoint's id.
     pub endpoint: u32,
     /// Requests in progress.
@@ -81,26 +81,26 @@
     /// Prompt tokens of requests without a first event.
     pub backlog_tokens: u32,
     /// Tokens of all requests in progress.
-    pub held_tokens: u32,
+    pub reserved_tokens: u32,
 }
 
-impl EndpointShare {
+impl EndpointLoadShare {
     /// The share of an endpoint with this hash.
-    pub fn new(endpoint: u32, share: Share) -> Self {
+    pub fn new(endpoint: u32, share: LoadShare) -> Self {
         Self {
             endpoint,
             active: share.active,
             backlog_tokens: share.backlog_tokens as u32,
-            held_tokens: share.held_tokens as u32,
+            reserved_tokens: share.reserved_tokens as u32,
         }
     }
 
     /// The share without the endpoint.
-    pub fn share(&self) -> Share {
-        Share {
+    pub fn share(&self) -> LoadShare {
+        LoadShare {
             active: self.active,
             backlog_tokens: u64::from(self.backlog_tokens),
-            held_tokens: u64::from(self.held_tokens),
+            reserved_tokens: u64::from(self.reserved_tokens),
         }
     }
 }
@@ -111,7 +111,7 @@
     /// Hash of the endpoint's id.
     pub endpoint: u32,
     /// Memory that it takes, in tokens.
-    pub held_tokens: u32,
+    pub reserved_tokens: u32,
     /// Tokens of it that the endpoint has to read.
     pub read_tokens: u32,
     /// Predicted time until it has been read.
@@ -122,7 +122,7 @@
 
 /// What one update tells.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct LoadChanges {
     /// Endpoints at which the host has something else than before.
     pub endpoints: Vec<CompactString>,
     /// Prompts that were sent.
@@ -155,7 +155,7 @@
         let shared = call.shared_parts().iter().map(|part| part.id);
         self.sends.push(SentPrompt {
             endpoint: hash,
-            held_tokens: choice.work.held_tokens as u32,
+            reserved_tokens: choice.work.reserved_tokens as u32,
             read_tokens: choice.work.uncached_tokens as u32,
             read_ms: choice.first_event_ms as u32,
             parts: shared.take(MAX_PARTS).collect(),
@@ -173,7 +173,7 @@
     /// What is to be told now, with `peer_count` other hosts in the region.
     ///
     /// What does not fit into one packet is left for the next one.
-    pub fn take_due(&mut self, peer_count: usize, now_ms: u64) -> Option<Changes> {
+    pub fn take_due(&mut self, peer_count: usize, now_ms: u64) -> Option<LoadChanges> {
         let is_urgent = !self.sends.is_empty() || !self.blocks.is_empty();
         let due_ms = match is_urgent {
             true => self.next_ms,
@@ -193,7 +193,7 @@
         let sends = self.sends.drain(..count).collect();
         let count = self.blocks.len().min(MAX_BLOCKS);
         let blocks = self.blocks.drain(..count).collect();
-        Some(Changes {
+        Some(LoadChanges {
             endpoints,
             sends,
             blocks,
@@ -203,7 +203,7 @@
 
 impl Reactor {
     /// Tells the hosts of the region what has changed, if that is due.
-    pub(super) fn tell_loads(&mut self, now_ms: u64) {
+    pub(super) fn send_load_update(&mut self, now_ms: u64) {
         let peer_count = self.region_view.host_count.saturating_sub(1);
         let Some(changes) = self.pending_update.take_due(peer_count, now_ms) else {
             return;
@@ -216,7 +216,7 @@
         let changed = changes.endpoints.iter();
         let shares = changed
             .filter_map(|id| self.fleet.get(id))
-            .map(|endpoint| EndpointShare::new(endpoint.hash, endpoint.own))
+            .map(|endpoint| EndpointLoadShare::new(endpoint.hash, endpoint.own_load))
             .collect();
         self.beacon_sequence += 1;
         let update = LoadUpdate {
@@ -227,19 +227,19 @@
             sends: changes.sends,
             blocks: changes.blocks,
         };
-        self.send_packet(&Packet::Update(update), &peers);
+        self.send_packet(&Packet::LoadUpdate(update), &peers);
     }
 
     /// Takes over the update of another host.
-    pub(super) fn hear_loads(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
-        if !self.hosts.hear_update(update, now_ms) {
+    pub(super) fn apply_load_update(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
+        if !self.hosts.apply_load_update(update, now_ms) {
             return false;
         }
         for sent in &update.sends {
-            self.fleet.remember_told(sent, now_ms);
+            self.fleet.record_peer_prompt(sent, now_ms);
         }
         for block in &update.blocks {
-            self.fleet.block_told(block, now_ms);
+            self.fleet.apply_peer_block(block, now_ms);
         }
         true
     }
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -361,11 +361,11 @@
     fn tick(&mut self) {
         let now_ms = self.now_ms();
         self.send_beacons(now_ms);
-        self.update_shares(now_ms);
+        self.update_peer_loads(now_ms);
         self.ask_seeds(now_ms);
         self.check_exchanges(now_ms);
         self.serve_waiting(now_ms);
-        self.tell_loads(now_ms);
+        self.send_load_update(now_ms);
         if now_ms >= self.next_sweep_ms {
             self.next_sweep_ms = now_ms + SWEEP_MS;
             self.sweep(now_ms);
--- a/src/gateway/serve_exchange.rs
+++ b/src/gateway/serve_exchange.rs
@@ -175,7 +175,7 @@
         let own_ms = self.own_queue_ms(service, key, now_ms);
         // The other hosts of the region have queues in front of the same
         // endpoints, and their requests may be more or less urgent.
-        let others_ms = self.hosts.queue_of_others_ms(&service.name, now_ms) / 2.0;
+        let others_ms = self.hosts.peer_queue_ms(&service.name, now_ms) / 2.0;
         let endpoints = self.fleet.usable(&service.name, now_ms).count().max(1) as f64;
         (own_ms + others_ms) / endpoints
     }
--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_sending.rs
@@ -48,7 +48,7 @@
         };
         endpoint.start(choice.work, now_ms);
         let call = &exchange.request.call;
-        endpoint.remember(call, now_ms + choice.first_event_ms as u64);
+        endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
         self.pending_update
             .record_send(&choice, endpoint.hash, call);
         let headers = EndpointHeaders {
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -12,7 +12,7 @@
         ServiceLoad, //
     },
     load_updates::{
-        EndpointShare,
+        EndpointLoadShare,
         Packet, //
     },
     reactor::Reactor,
@@ -267,8 +267,8 @@
         beacon.shares = self
             .fleet
             .iter()
-            .filter(|endpoint| endpoint.own.active > 0)
-            .map(|endpoint| EndpointShare::new(endpoint.hash, endpoint.own))
+            .filter(|endpoint| endpoint.own_load.active > 0)
+            .map(|endpoint| EndpointLoadShare::new(endpoint.hash, endpoint.own_load))
             .collect();
         beacon.queues = self.own_queues();
         beacon
@@ -337,7 +337,7 @@
     }
 
     /// Takes over what the other hosts of the region have at the endpoints.
-    pub(super) fn update_shares(&mut self, now_ms: u64) {
+    pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
         if now_ms < self.next_share_update_ms {
             return;
         }
@@ -347,9 +347,9 @@
         };
         self.next_share_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
-        let shares = self.hosts.shares_of_others(now_ms);
+        let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
-            .set_others(|hash| shares.get(&hash).copied().unwrap_or_default());
+            .set_peer_loads(|hash| shares.get(&hash).copied().unwrap_or_default());
     }
 
     pub(super) fn receive_beacons(&mut self) {
@@ -361,9 +361,11 @@
                 Ok((count, _)) => match postcard::from_bytes::<Packet>(&buffer[..count]) {
                     Ok(Packet::Beacon(beacon)) => {
                         self.compare_revision(&beacon, now_ms);
-                        is_changed |= self.hosts.hear(beacon, now_ms);
+                        is_changed |= self.hosts.apply_beacon(beacon, now_ms);
+                    }
+                    Ok(Packet::LoadUpdate(update)) => {
+                        is_changed |= self.apply_load_update(&update, now_ms)
                     }
-                    Ok(Packet::Update(update)) => is_changed |= self.hear_loads(&update, now_ms),
                     Err(error) => tracing::debug!(%error, "unreadable packet"),
                 },
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -21,7 +21,7 @@
         endpoint::{
             Announcement,
             Failure,
-            Share,
+            LoadShare,
             Stage,
             Work, //
         },
@@ -39,7 +39,7 @@
         },
         load_updates::{
             EndpointBlock,
-            EndpointShare,
+            EndpointLoadShare,
             LoadUpdate,
             Packet,
             PendingUpdate, //
@@ -202,7 +202,7 @@
             hosts.register(host(&name(&number), "north"));
         }
         for number in hears {
-            hosts.hear(beacon(&name(number), 1), now_ms);
+            hosts.apply_beacon(beacon(&name(number), 1), now_ms);
         }
         let view = hosts.region_view(now_ms);
         cold_sends(&name(own), &view.cold_sharers)
@@ -263,7 +263,7 @@
     let placer = |name: &CompactString| {
         let mut hosts = Hosts::new(host(name, "north"));
         for other in &all {
-            hosts.hear(beacon(other, 1), 1_000);
+            hosts.apply_beacon(beacon(other, 1), 1_000);
         }
         Placer {
             name: name.clone(),
@@ -282,13 +282,13 @@
         let choice = choose(&self.fleet, call, &[], now_ms).expect("an endpoint");
         let endpoint = self.fleet.get_mut(&choice.endpoint).expect("the endpoint");
         endpoint.start(choice.work, now_ms);
-        endpoint.remember(call, now_ms + choice.first_event_ms as u64);
+        endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
         let hash = endpoint.hash;
         self.pending.record_send(&choice, hash, call);
         let changes = self.pending.take_due(1, now_ms).expect("an update is due");
         let shares = changes.endpoints.iter().map(|id| {
             let endpoint = self.fleet.get(id).expect("the endpoint");
-            EndpointShare::new(endpoint.hash, endpoint.own)
+            EndpointLoadShare::new(endpoint.hash, endpoint.own_load)
         });
         let shares = shares.collect();
         self.sequence += 1;
@@ -303,17 +303,17 @@
         (choice.endpoint, update)
     }
 
-    fn hear(&mut self, update: &LoadUpdate, now_ms: u64) {
+    fn apply_update(&mut self, update: &LoadUpdate, now_ms: u64) {
         if update.host == self.name {
             return;
         }
-        assert!(self.hosts.hear_update(update, now_ms));
+        assert!(self.hosts.apply_load_update(update, now_ms));
         for sent in &update.sends {
-            self.fleet.remember_told(sent, now_ms);
+            self.fleet.record_peer_prompt(sent, now_ms);
         }
-        let shares = self.hosts.shares_of_others(now_ms);
+        let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
-            .set_others(|hash| shares.get(&hash).copied().unwrap_or_default());
+            .set_peer_loads(|hash| shares.get(&hash).copied().unwrap_or_default());
     }
 }
 
@@ -334,7 +334,7 @@
         let read_tokens = update.shares[0].backlog_tokens;
         *reading_ms.entry(endpoint).or_default() += u64::from(read_tokens) * 10 / 566;
         for placer in &mut placers {
-            placer.hear(&update, now_ms);
+            placer.apply_update(&update, now_ms);
         }
     }
     let longest_ms = reading_ms.values().max().copied().unwrap_or(0);
@@ -352,7 +352,7 @@
     let mut pending = PendingUpdate::default();
     let work = Work {
         uncached_tokens: u64::from(u32::MAX),
-        held_tokens: u64::from(u32::MAX),
+        reserved_tokens: u64::from(u32::MAX),
     };
     let call = Call {
         parts: (0..9)
@@ -380,11 +380,11 @@
             continue;
         };
         told += changes.sends.len();
-        let share = EndpointShare {
+        let share = EndpointLoadShare {
             endpoint: u32::MAX,
             active: u32::MAX,
             backlog_tokens: u32::MAX,
-            held_tokens: u32::MAX,
+            reserved_tokens: u32::MAX,
         };
         let update = LoadUpdate {
             host: "edge-a-host-with-a-long-name-1".into(),
@@ -394,7 +394,7 @@
             sends: changes.sends,
             blocks: changes.blocks,
         };
-        let bytes = postcard::to_allocvec(&Packet::Update(update)).expect("it is encoded");
+        let bytes = postcard::to_allocvec(&Packet::LoadUpdate(update)).expect("it is encoded");
         assert!(bytes.len() <= PACKET_BYTES, "{} bytes", bytes.len());
     }
     assert_eq!(told, 100, "not every send was told");
@@ -416,9 +416,9 @@
             id: 3,
             tokens: Tokens(6_400),
         });
-        rest[0].hear(&update, 1_005);
+        rest[0].apply_update(&update, 1_005);
         // The first prompt has been read since.
-        rest[0].fleet.set_others(|_| Share::default());
+        rest[0].fleet.set_peer_loads(|_| LoadShare::default());
 
         let choice = choose(&rest[0].fleet, &longer, &[], 2_000).expect("an endpoint");
 
@@ -440,7 +440,7 @@
     for now_ms in (1_000..3_000).step_by(200) {
         let prompt = Work {
             uncached_tokens: 10_000,
-            held_tokens: 0,
+            reserved_tokens: 0,
         };
         reading.start(prompt, now_ms);
         reading.finish(prompt, true);
@@ -472,7 +472,7 @@
         endpoint: lost,
         for_ms: 500,
     };
-    fleet.block_told(&block, 1_000);
+    fleet.apply_peer_block(&block, 1_000);
 
     let usable = |fleet: &Fleet, now_ms| fleet.usable("model", now_ms).count();
     assert_eq!(usable(&fleet, 1_400), 1);
@@ -481,7 +481,7 @@
     let busy = fleet.get_mut("e-1").expect("the endpoint");
     busy.start(Work::default(), 2_000);
     let endpoint = busy.hash;
-    fleet.block_told(&EndpointBlock { endpoint, ..block }, 2_000);
+    fleet.apply_peer_block(&EndpointBlock { endpoint, ..block }, 2_000);
     assert_eq!(usable(&fleet, 2_100), 2);
 }
 
@@ -591,7 +591,7 @@
             first_event_ms: 100.0,
             work: Work {
                 uncached_tokens: 8_000,
-                held_tokens: 8_400,
+                reserved_tokens: 8_400,
             },
             copied_tokens: 0,
             backlog_ms: 50.0,
@@ -755,16 +755,16 @@
     let mut hosts = Hosts::new(host("host-0", "north"));
     hosts.set_store_reachable(true);
     hosts.register(host("host-1", "north"));
-    assert!(hosts.hear(beacon("host-1", 2), 1_000));
+    assert!(hosts.apply_beacon(beacon("host-1", 2), 1_000));
     hosts.set_store_reachable(false);
 
     assert_eq!(hosts.live(2_000).count(), 1);
     assert_eq!(hosts.live(6_000).count(), 0);
     assert!(
-        !hosts.hear(beacon("host-1", 2), 6_000),
+        !hosts.apply_beacon(beacon("host-1", 2), 6_000),
         "an old beacon counts"
     );
-    assert!(hosts.hear(beacon("host-1", 3), 6_000));
+    assert!(hosts.apply_beacon(beacon("host-1", 3), 6_000));
     assert_eq!(hosts.live(6_100).count(), 1);
 }
 
