--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -84,8 +84,9 @@
     // A request that has waited is the most urgent one when it is asked about.
     let is_next = situation.is_waiting || situation.queue_ms <= 0.0;
     let goes_now = situation.here.clone().filter(|choice| {
-        let is_quick = choice.work.is_quick() && choice.first_event_ms <= situation.goal_left_ms;
-        (is_quick || (has_room && is_next)) && choice.first_event_ms < situation.time_left_ms
+        let is_short =
+            choice.work.is_short_prompt() && choice.first_event_ms <= situation.goal_left_ms;
+        (is_short || (has_room && is_next)) && choice.first_event_ms < situation.time_left_ms
     });
     if let Some(choice) = goes_now {
         return Placement::Send(choice);
--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -23,7 +23,7 @@
 };
 
 /// Weight of a new observation in a moving average.
-const LEARN_WEIGHT: f64 = 0.15;
+const EWMA_WEIGHT: f64 = 0.15;
 /// First block after a failure to reach an endpoint; doubles with each one.
 const FIRST_BLOCK_MS: u64 = 500;
 /// Longest block: one heartbeat of an endpoint's announcement is about a second,
@@ -47,7 +47,7 @@
 /// Pause after an endpoint refused a request for lack of room.
 const SHED_PAUSE_MS: u64 = 60;
 /// Longest prompt that counts as quick: two chunks of a batching engine.
-const QUICK_TOKENS: u64 = 2_048;
+const SHORT_PROMPT_TOKENS: u64 = 2_048;
 
 /// State that an endpoint announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -148,7 +148,7 @@
     failures: u32,
     blocked_until_ms: u64,
     block_ms: u64,
-    on_trial: bool,
+    is_probing: bool,
     parts: HashMap<u64, CachedPart>,
     /// Prompt tokens that all hosts sent lately, fading with [`PREFILL_DECAY_MS`].
     recent_read_tokens: f64,
@@ -181,7 +181,7 @@
             failures: 0,
             blocked_until_ms: 0,
             block_ms: FIRST_BLOCK_MS,
-            on_trial: false,
+            is_probing: false,
             parts: HashMap::new(),
             recent_read_tokens: 0.0,
             recent_read_at_ms: 0,
@@ -192,7 +192,7 @@
     /// Takes over a newer announcement.
     ///
     /// A restarted endpoint keeps nothing, so what was learned is dropped.
-    pub fn announce(&mut self, announcement: Announcement, now_ms: u64) {
+    pub fn apply_announcement(&mut self, announcement: Announcement, now_ms: u64) {
         let is_restarted = announcement.started_ms != self.announcement.started_ms
             || announcement.address != self.announcement.address;
         if is_restarted {
@@ -225,16 +225,16 @@
     }
 
     /// Whether the announcement stands.
-    pub fn is_listed(&self, now_ms: u64) -> bool {
+    pub fn is_announced(&self, now_ms: u64) -> bool {
         self.withdrawn_at_ms.is_none_or(|at_ms| now_ms < at_ms)
     }
 
     /// Whether new requests may go to the endpoint, its load aside.
     pub fn is_usable(&self, now_ms: u64) -> bool {
-        self.is_listed(now_ms)
+        self.is_announced(now_ms)
             && self.announcement.stage == Stage::Ready
             && now_ms >= self.blocked_until_ms
-            && !(self.on_trial && self.own_load.active > 0)
+            && !(self.is_probing && self.own_load.active > 0)
     }
 
     /// Whether one more request may be sent in this second to a cold endpoint.
@@ -248,7 +248,7 @@
     }
 
     /// Records that a request was sent.
-    pub fn start(&mut self, work: Work, now_ms: u64) {
+    pub fn record_send(&mut self, work: Work, now_ms: u64) {
         self.own_load.active += 1;
         self.own_load.backlog_tokens += work.uncached_tokens;
         self.own_load.reserved_tokens += work.reserved_tokens;
@@ -262,7 +262,7 @@
     }
 
     /// Records that a request's prompt has been read.
-    pub fn first_event(&mut self, work: Work) {
+    pub fn record_first_event(&mut self, work: Work) {
         self.own_load.backlog_tokens = self
             .own_load
             .backlog_tokens
@@ -270,35 +270,35 @@
     }
 
     /// Records that a request has ended.
-    pub fn finish(&mut self, work: Work, had_first_event: bool) {
+    pub fn record_end(&mut self, work: Work, had_first_event: bool) {
         self.own_load.active = self.own_load.active.saturating_sub(1);
         self.own_load.reserved_tokens = self
             .own_load
             .reserved_tokens
             .saturating_sub(work.reserved_tokens);
         if !had_first_event {
-            self.first_event(work);
+            self.record_first_event(work);
         }
     }
 
     /// Records a good answer that began after `actual_ms` instead of `predicted_ms`.
-    pub fn succeed(&mut self, actual_ms: f64, predicted_ms: f64) {
+    pub fn record_success(&mut self, actual_ms: f64, predicted_ms: f64) {
         let ratio = self.slowness * actual_ms / predicted_ms.max(1.0);
         let (low, high) = SLOWNESS_RANGE;
-        self.slowness += LEARN_WEIGHT * (ratio.clamp(low, high) - self.slowness);
-        self.error_rate -= LEARN_WEIGHT * self.error_rate;
+        self.slowness += EWMA_WEIGHT * (ratio.clamp(low, high) - self.slowness);
+        self.error_rate -= EWMA_WEIGHT * self.error_rate;
         self.failures = 0;
-        self.on_trial = false;
+        self.is_probing = false;
         self.block_ms = FIRST_BLOCK_MS;
     }
 
     /// Records a failure; returns whether the endpoint is blocked because of it.
-    pub fn fail(&mut self, failure: Failure, now_ms: u64) -> bool {
+    pub fn record_failure(&mut self, failure: Failure, now_ms: u64) -> bool {
         if failure == Failure::Shed {
             self.blocked_until_ms = self.blocked_until_ms.max(now_ms + SHED_PAUSE_MS);
             return false;
         }
-        self.error_rate += LEARN_WEIGHT * (1.0 - self.error_rate);
+        self.error_rate += EWMA_WEIGHT * (1.0 - self.error_rate);
         if failure == Failure::Error {
             return false;
         }
@@ -307,14 +307,14 @@
             self.block_ms = MAX_BLOCK_MS;
         }
         let blocks = matches!(failure, Failure::Unreachable | Failure::Replaced)
-            || self.on_trial
+            || self.is_probing
             || self.failures >= FAILURES_TO_BLOCK;
         if !blocks || now_ms < self.blocked_until_ms {
             return false;
         }
         self.blocked_until_ms = now_ms + self.block_ms;
         self.block_ms = (self.block_ms * 2).min(MAX_BLOCK_MS);
-        self.on_trial = true;
+        self.is_probing = true;
         true
     }
 
@@ -328,11 +328,11 @@
         }
         let until_ms = now_ms + for_ms.min(MAX_BLOCK_MS);
         self.blocked_until_ms = self.blocked_until_ms.max(until_ms);
-        self.on_trial = true;
+        self.is_probing = true;
     }
 
     /// Takes over the load that an answer carries.
-    pub fn report(&mut self, load: EndpointLoad, now_ms: u64) {
+    pub fn record_reported_load(&mut self, load: EndpointLoad, now_ms: u64) {
         self.reported = Some((now_ms, load));
     }
 
@@ -459,8 +459,8 @@
 impl Work {
     /// Whether the prompt is read within a few steps of an engine, so that it
     /// delays others little.
-    pub fn is_quick(&self) -> bool {
-        self.uncached_tokens <= QUICK_TOKENS
+    pub fn is_short_prompt(&self) -> bool {
+        self.uncached_tokens <= SHORT_PROMPT_TOKENS
     }
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -88,9 +88,9 @@
 /// Cost of a stream that will not end within its time limit.
 const OVERRUN_COST_MS: f64 = 600.0;
 /// Weight of a new observation in the mean time of a run.
-const RUN_LEARN_WEIGHT: f64 = 0.1;
+const RUN_EWMA_WEIGHT: f64 = 0.1;
 /// The same for the time to read a token, which is told by few requests.
-const TOKEN_LEARN_WEIGHT: f64 = 0.03;
+const TOKEN_EWMA_WEIGHT: f64 = 0.03;
 /// Weight of the error rate in the choice.
 const ERROR_WEIGHT: f64 = 6.0;
 /// Share of an engine's memory beyond which requests are preempted.
@@ -242,12 +242,17 @@
     }
 
     /// Takes over an announcement; false if its data centre is unknown.
-    pub fn announce(&mut self, id: &str, announcement: Announcement, now_ms: u64) -> bool {
+    pub fn apply_announcement(
+        &mut self,
+        id: &str,
+        announcement: Announcement,
+        now_ms: u64,
+    ) -> bool {
         let Some(region) = self.regions.get(&announcement.data_centre) else {
             return false;
         };
         match self.endpoints.get_mut(id) {
-            Some(endpoint) => endpoint.announce(announcement, now_ms),
+            Some(endpoint) => endpoint.apply_announcement(announcement, now_ms),
             None => {
                 let endpoint = Endpoint::new(id.into(), region.clone(), announcement, now_ms);
                 self.endpoints.insert(id.into(), endpoint);
@@ -266,7 +271,7 @@
     /// Forgets endpoints that are not announced and have finished their work.
     pub fn drop_withdrawn(&mut self, now_ms: u64) {
         self.endpoints
-            .retain(|_, endpoint| endpoint.is_listed(now_ms) || endpoint.own_load.active > 0);
+            .retain(|_, endpoint| endpoint.is_announced(now_ms) || endpoint.own_load.active > 0);
     }
 
     /// Stops or resumes the use of a data centre's endpoints.
@@ -339,15 +344,15 @@
     }
 
     /// Learns how long requests of a service run.
-    pub fn learn_run(&mut self, service: &str, run_ms: f64) {
+    pub fn record_run_time(&mut self, service: &str, run_ms: f64) {
         let known = self.run_ms.entry(service.into()).or_insert(run_ms);
-        *known += RUN_LEARN_WEIGHT * (run_ms - *known);
+        *known += RUN_EWMA_WEIGHT * (run_ms - *known);
     }
 
     /// Learns how long a service's endpoints take to read a prompt token.
     ///
     /// Only requests that dominate their endpoint's backlog tell it.
-    pub fn learn_first_event(&mut self, service: &str, choice: &Choice, actual_ms: f64) {
+    pub fn record_first_event_time(&mut self, service: &str, choice: &Choice, actual_ms: f64) {
         let tokens = choice.work.uncached_tokens as f64;
         let is_telling = tokens > 1_000.0 && choice.backlog_ms < choice.first_event_ms / 4.0;
         if !is_telling {
@@ -356,7 +361,7 @@
         let observed =
             ((actual_ms - FIRST_EVENT_MS) / tokens).clamp(TOKEN_MS / 20.0, TOKEN_MS * 20.0);
         let known = self.token_ms.entry(service.into()).or_insert(TOKEN_MS);
-        *known += TOKEN_LEARN_WEIGHT * (observed - *known);
+        *known += TOKEN_EWMA_WEIGHT * (observed - *known);
     }
 
     /// Endpoints of `service` in this region that may be used, their load and
--- a/src/gateway/serve_answer.rs
+++ b/src/gateway/serve_answer.rs
@@ -50,7 +50,7 @@
             && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
         {
             if let Some(load) = verdict.load {
-                endpoint.report(load, now_ms);
+                endpoint.record_reported_load(load, now_ms);
             }
             if let Some(left_ms) = verdict.cold_left_ms {
                 endpoint.set_cold(left_ms, now_ms);
@@ -125,12 +125,13 @@
             let choice = choice.clone();
             let service = exchange.plan.service.clone();
             if let Some(endpoint) = self.fleet.get_mut(&choice.endpoint) {
-                endpoint.first_event(choice.work);
+                endpoint.record_first_event(choice.work);
                 self.pending_update.record_change(&choice.endpoint);
-                endpoint.succeed(actual_ms, choice.first_event_ms);
+                endpoint.record_success(actual_ms, choice.first_event_ms);
             }
             if exchange.plan.is_stream {
-                self.fleet.learn_first_event(&service, &choice, actual_ms);
+                self.fleet
+                    .record_first_event_time(&service, &choice, actual_ms);
             }
         }
     }
@@ -235,7 +236,7 @@
             );
             if is_here {
                 self.fleet
-                    .learn_run(&service, now_ms.saturating_sub(sent_ms) as f64);
+                    .record_run_time(&service, now_ms.saturating_sub(sent_ms) as f64);
             }
         }
         self.end_sending(key, None, now_ms);
--- a/src/gateway/serve_ending.rs
+++ b/src/gateway/serve_ending.rs
@@ -138,9 +138,9 @@
         if let Destination::Endpoint(choice) = &sending.destination
             && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
         {
-            endpoint.finish(choice.work, sending.has_begun);
+            endpoint.record_end(choice.work, sending.has_begun);
             self.pending_update.record_change(&choice.endpoint);
-            let blocked = failure.is_some_and(|failure| endpoint.fail(failure, now_ms));
+            let blocked = failure.is_some_and(|failure| endpoint.record_failure(failure, now_ms));
             if blocked {
                 let for_ms = endpoint.blocked_until_ms().saturating_sub(now_ms);
                 tracing::warn!(
--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_sending.rs
@@ -46,7 +46,7 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        endpoint.start(choice.work, now_ms);
+        endpoint.record_send(choice.work, now_ms);
         let call = &exchange.request.call;
         endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
         self.pending_update
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -66,7 +66,7 @@
                         "endpoint announced"
                     );
                 }
-                if !self.fleet.announce(&id, announcement, now_ms) {
+                if !self.fleet.apply_announcement(&id, announcement, now_ms) {
                     tracing::warn!(endpoint = %id, "endpoint is in an unknown data centre");
                 }
             }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -97,7 +97,7 @@
     let regions = BTreeMap::from([("north-a".into(), "north".into())]);
     let mut fleet = Fleet::new(host.into(), "north".into(), regions, COLD);
     for number in 0..endpoint_count {
-        assert!(fleet.announce(&format!("e-{number}"), announcement(cold_left_ms), 0));
+        assert!(fleet.apply_announcement(&format!("e-{number}"), announcement(cold_left_ms), 0));
     }
     fleet
 }
@@ -144,7 +144,7 @@
     let mut sent = 0;
     while let Some(choice) = choose(&fleet, &prompt(2, 3), view, 1_000) {
         let endpoint = fleet.get_mut(&choice.endpoint).expect("the endpoint");
-        endpoint.start(Work::default(), 1_000);
+        endpoint.record_send(Work::default(), 1_000);
         sent += 1;
         assert!(sent < 100, "no limit");
     }
@@ -281,7 +281,7 @@
     fn send(&mut self, call: &Call, now_ms: u64) -> (CompactString, LoadUpdate) {
         let choice = choose(&self.fleet, call, &[], now_ms).expect("an endpoint");
         let endpoint = self.fleet.get_mut(&choice.endpoint).expect("the endpoint");
-        endpoint.start(choice.work, now_ms);
+        endpoint.record_send(choice.work, now_ms);
         endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
         let hash = endpoint.hash;
         self.pending.record_send(&choice, hash, call);
@@ -442,13 +442,13 @@
             uncached_tokens: 10_000,
             reserved_tokens: 0,
         };
-        reading.start(prompt, now_ms);
-        reading.finish(prompt, true);
-        reading.first_event(prompt);
+        reading.record_send(prompt, now_ms);
+        reading.record_end(prompt, true);
+        reading.record_first_event(prompt);
     }
     let streaming = fleet.get_mut("e-1").expect("the endpoint");
     for _ in 0..12 {
-        streaming.start(Work::default(), 1_000);
+        streaming.record_send(Work::default(), 1_000);
     }
     let long_answer = Call {
         prompt: Tokens(400),
@@ -479,7 +479,7 @@
     assert_eq!(usable(&fleet, 1_600), 2);
 
     let busy = fleet.get_mut("e-1").expect("the endpoint");
-    busy.start(Work::default(), 2_000);
+    busy.record_send(Work::default(), 2_000);
     let endpoint = busy.hash;
     fleet.apply_peer_block(&EndpointBlock { endpoint, ..block }, 2_000);
     assert_eq!(usable(&fleet, 2_100), 2);
@@ -512,7 +512,7 @@
     for _ in 0..40 {
         let choice = choose(&fleet, &prompt(7, 99), &names(1), 0).expect("an endpoint");
         let endpoint = fleet.get_mut(&choice.endpoint).expect("the endpoint");
-        endpoint.start(choice.work, 0);
+        endpoint.record_send(choice.work, 0);
         *loads.entry(choice.endpoint).or_default() += 1;
     }
 
@@ -527,9 +527,9 @@
     let mut fleet = fleet_of("host-0", 3, 0);
     for _ in 0..8 {
         let endpoint = fleet.get_mut("e-0").expect("the endpoint");
-        endpoint.start(Work::default(), 0);
-        endpoint.finish(Work::default(), false);
-        endpoint.fail(Failure::Error, 0);
+        endpoint.record_send(Work::default(), 0);
+        endpoint.record_end(Work::default(), false);
+        endpoint.record_failure(Failure::Error, 0);
     }
 
     for part in 10..30 {
@@ -545,7 +545,7 @@
     let mut fleet = fleet_of("host-0", 1, 0);
     for _ in 0..3 {
         let endpoint = fleet.get_mut("e-0").expect("the endpoint");
-        endpoint.fail(Failure::Broken, 0);
+        endpoint.record_failure(Failure::Broken, 0);
     }
     let choose = |fleet: &Fleet| choose(fleet, &prompt(7, 8), &names(1), 100);
     assert_eq!(choose(&fleet), None, "a blocked endpoint is used");
@@ -554,14 +554,14 @@
         started_ms: 2,
         ..announcement(0)
     };
-    fleet.announce("e-0", restarted.clone(), 50);
+    fleet.apply_announcement("e-0", restarted.clone(), 50);
     assert!(choose(&fleet).is_some(), "a restarted endpoint is not used");
 
     let leaving = Announcement {
         stage: Stage::Draining,
         ..restarted
     };
-    fleet.announce("e-0", leaving, 60);
+    fleet.apply_announcement("e-0", leaving, 60);
     assert_eq!(choose(&fleet), None, "a leaving endpoint is used");
 }
 
