--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -726,7 +726,7 @@
                 };
                 gateway.handle(now_ms, ended, actions);
             }
-            Action::AskGrant {
+            Action::RequestGrant {
                 caller,
                 amount_micros,
             } => {
--- a/src/decider.rs
+++ b/src/decider.rs
@@ -216,9 +216,9 @@
             request, outcome, ..
         } => match outcome {
             AttemptOutcome::Complete { .. }
-            | AttemptOutcome::Broken { .. }
+            | AttemptOutcome::Truncated { .. }
             | AttemptOutcome::Failed { .. }
-            | AttemptOutcome::CallerGone { .. } => Some(*request),
+            | AttemptOutcome::CallerDisconnected { .. } => Some(*request),
             AttemptOutcome::NotSent
             | AttemptOutcome::Rejected { .. }
             | AttemptOutcome::Interrupted { .. } => None,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -19,7 +19,7 @@
 
 /// Slots and run time that a queue drains with.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Drain {
+pub struct DrainRate {
     /// Slots of all endpoints of the target in this region.
     pub slots: f64,
     /// Hosts of this region that share them.
@@ -28,7 +28,7 @@
     pub run_ms: f64,
 }
 
-impl Drain {
+impl DrainRate {
     /// Predicted wait behind `ahead` other requests, in milliseconds.
     pub fn wait_ms(&self, ahead: usize) -> f64 {
         let each_ms = self.run_ms * self.hosts as f64 / self.slots.max(1.0);
@@ -49,8 +49,8 @@
 }
 
 /// Decides on a request that would wait `wait_ms` and then run for `run_ms`.
-pub fn admit(wait_ms: f64, run_ms: f64, left_ms: Millis, policy: &Policy) -> Admission {
-    let late_ms = wait_ms + run_ms - left_ms.0 as f64;
+pub fn admit(wait_ms: f64, run_ms: f64, remaining_ms: Millis, policy: &Policy) -> Admission {
+    let late_ms = wait_ms + run_ms - remaining_ms.0 as f64;
     let beyond_ms = wait_ms - policy.max_queue_wait_ms.0 as f64;
     let excess_ms = late_ms.max(beyond_ms);
     if excess_ms <= 0.0 {
--- a/src/decision/arrive.rs
+++ b/src/decision/arrival.rs
@@ -15,7 +15,7 @@
     },
     request::{
         OpenRequest,
-        Place, //
+        Phase, //
     },
     residency::AllowedRegions, //
 };
@@ -27,7 +27,12 @@
 };
 
 impl Gateway {
-    pub(super) fn arrived(&mut self, now_ms: Millis, arrival: Arrival, actions: &mut Vec<Action>) {
+    pub(super) fn on_arrival(
+        &mut self,
+        now_ms: Millis,
+        arrival: Arrival,
+        actions: &mut Vec<Action>,
+    ) {
         let request = arrival.request;
         if self.open.contains_key(&request) {
             return;
@@ -39,11 +44,11 @@
     }
 
     fn check(&self, now_ms: Millis, mut arrival: Arrival) -> Result<OpenRequest, Refusal> {
-        let later = |reason| self.later(reason);
+        let later = |reason| self.retryable_refusal(reason);
         if self.is_leaving {
             return Err(later(RefusalReason::Leaving));
         }
-        let intents = self.known.intents.as_ref();
+        let intents = self.inputs.intents.as_ref();
         let intents = intents.ok_or_else(|| later(RefusalReason::NotReady))?;
         let unknown = Refusal::new(RefusalReason::UnknownTarget);
         let intent = intents.caller(&arrival.caller).ok_or(unknown)?;
@@ -52,7 +57,7 @@
         }
         let price = Price::new(intents, &arrival.target).ok_or(unknown)?;
         let allowed = AllowedRegions::for_request(intent, &arrival.origin);
-        if !allowed.contains(&self.known.region) {
+        if !allowed.contains(&self.inputs.region) {
             return Err(Refusal::new(RefusalReason::WrongRegion));
         }
         arrival.deadline_ms = arrival.deadline_ms.min(now_ms + intent.deadline_ms);
@@ -70,37 +75,37 @@
         open: OpenRequest,
         actions: &mut Vec<Action>,
     ) {
-        self.retries.earn(&self.known.policy);
+        self.retries.earn(&self.inputs.policy);
         let deadline_ms = open.arrival.deadline_ms;
         self.timers.insert((deadline_ms, request));
-        if open.is_own() {
+        if open.is_from_caller() {
             let target = &open.arrival.target;
-            self.regions
-                .note_request(now_ms, target, &self.known.policy);
+            self.region_chooser
+                .note_request(now_ms, target, &self.inputs.policy);
         }
-        self.start(now_ms, request, open, actions);
+        self.start_attempt(now_ms, request, open, actions);
     }
 
     /// Starts an attempt, for which this host pays if the caller is its own.
     ///
     /// For a forwarded request, the host that sent it has set the money aside.
-    pub(super) fn start(
+    pub(super) fn start_attempt(
         &mut self,
         now_ms: Millis,
         request: RequestId,
         mut open: OpenRequest,
         actions: &mut Vec<Action>,
     ) {
-        if open.is_own() {
-            open.place = Place::Granting { since_ms: now_ms };
-            self.fund(now_ms, request, open, actions);
+        if open.is_from_caller() {
+            open.phase = Phase::AwaitingGrant { since_ms: now_ms };
+            self.reserve_and_dispatch(now_ms, request, open, actions);
         } else {
-            self.place(now_ms, request, open, actions);
+            self.dispatch(now_ms, request, open, actions);
         }
     }
 
     /// Sets money aside and goes on, or waits for a grant.
-    fn fund(
+    fn reserve_and_dispatch(
         &mut self,
         now_ms: Millis,
         request: RequestId,
@@ -108,11 +113,11 @@
         actions: &mut Vec<Action>,
     ) {
         let caller = open.arrival.caller.clone();
-        let amount = open.most_cost();
+        let amount = open.max_cost();
         match self.reserve(now_ms, &caller, amount, actions) {
             Ok(reservation) => {
                 open.reservation = reservation;
-                self.place(now_ms, request, open, actions);
+                self.dispatch(now_ms, request, open, actions);
             }
             Err(Shortage::AwaitingGrant) => self.await_grant(request, open),
             Err(Shortage::Exhausted { retry_after_ms }) => {
@@ -131,19 +136,22 @@
         amount: CostMicros,
         actions: &mut Vec<Action>,
     ) -> Result<Option<Reservation>, Shortage> {
-        let Some(intents) = self.known.intents.clone() else {
+        let Some(intents) = self.inputs.intents.clone() else {
             return Ok(None);
         };
         let Some(intent) = intents.caller(caller) else {
             // The caller was removed while its request waited.
             return Err(Shortage::Exhausted {
-                retry_after_ms: self.known.policy.retry_after_ms,
+                retry_after_ms: self.inputs.policy.retry_after_ms,
             });
         };
-        let policy = &self.known.policy;
+        let policy = &self.inputs.policy;
         let reserved = self.budget.reserve(now_ms, caller, intent, amount, policy);
-        if let Some(amount_micros) = self.budget.take_ask(now_ms, caller, intent, policy) {
-            actions.push(Action::AskGrant {
+        if let Some(amount_micros) = self
+            .budget
+            .take_grant_request(now_ms, caller, intent, policy)
+        {
+            actions.push(Action::RequestGrant {
                 caller: caller.clone(),
                 amount_micros,
             });
@@ -152,32 +160,32 @@
     }
 
     fn await_grant(&mut self, request: RequestId, open: OpenRequest) {
-        if let Place::Granting { since_ms } = open.place {
-            let until_ms = since_ms + self.known.policy.grant_wait_ms;
+        if let Phase::AwaitingGrant { since_ms } = open.phase {
+            let until_ms = since_ms + self.inputs.policy.grant_wait_ms;
             self.timers.insert((until_ms, request));
         }
         let caller = open.arrival.caller.clone();
-        self.granting.entry(caller).or_default().push(request);
+        self.awaiting_grant.entry(caller).or_default().push(request);
         self.open.insert(request, open);
     }
 
     /// Tries again for all requests of a caller that wait for a grant.
-    pub(super) fn fund_waiting(
+    pub(super) fn retry_awaiting_grant(
         &mut self,
         now_ms: Millis,
         caller: &CallerId,
         actions: &mut Vec<Action>,
     ) {
-        let waiting = self.granting.remove(caller).unwrap_or_default();
+        let waiting = self.awaiting_grant.remove(caller).unwrap_or_default();
         for request in waiting {
             if let Some(open) = self.open.remove(&request) {
-                self.fund(now_ms, request, open, actions);
+                self.reserve_and_dispatch(now_ms, request, open, actions);
             }
         }
     }
 
     /// A refusal after which coming back in a while makes sense.
-    pub(super) fn later(&self, reason: RefusalReason) -> Refusal {
-        Refusal::new(reason).with_retry_after(self.known.policy.retry_after_ms)
+    pub(super) fn retryable_refusal(&self, reason: RefusalReason) -> Refusal {
+        Refusal::new(reason).with_retry_after(self.inputs.policy.retry_after_ms)
     }
 }
--- a/src/decision/finish.rs
+++ b/src/decision/attempt_end.rs
@@ -11,7 +11,7 @@
     policy::Policy,
     request::{
         OpenRequest,
-        Place, //
+        Phase, //
     },
     retry::{
         self,
@@ -28,7 +28,7 @@
 };
 
 impl Gateway {
-    pub(super) fn ended(
+    pub(super) fn on_ended(
         &mut self,
         now_ms: Millis,
         request: RequestId,
@@ -40,8 +40,8 @@
             return;
         };
         if !open.is_running() {
-            if matches!(outcome, AttemptOutcome::CallerGone { .. }) {
-                self.drop_waiting(request);
+            if matches!(outcome, AttemptOutcome::CallerDisconnected { .. }) {
+                self.drop_disconnected(request);
             }
             return;
         }
@@ -51,12 +51,12 @@
         if let Some(open) = self.open.remove(&request) {
             let target = open.arrival.target.clone();
             self.attempt_ended(now_ms, request, open, outcome, actions);
-            self.release(now_ms, &target, actions);
+            self.dispatch_queued(now_ms, &target, actions);
         }
     }
 
     /// Drops a waiting request whose caller has gone.
-    fn drop_waiting(&mut self, request: RequestId) {
+    fn drop_disconnected(&mut self, request: RequestId) {
         if let Some(open) = self.take_waiting(request) {
             self.close(request, open);
         }
@@ -66,7 +66,7 @@
     pub(super) fn take_waiting(&mut self, request: RequestId) -> Option<OpenRequest> {
         let open = self.open.remove(&request)?;
         let arrival = &open.arrival;
-        if let Some(waiting) = self.granting.get_mut(&arrival.caller) {
+        if let Some(waiting) = self.awaiting_grant.get_mut(&arrival.caller) {
             waiting.retain(|one| *one != request);
         }
         self.queue.remove(&arrival.target, arrival.tier, request);
@@ -81,9 +81,9 @@
         outcome: &AttemptOutcome,
         actions: &mut Vec<Action>,
     ) {
-        self.leave_place(now_ms, request, &open);
+        self.clear_in_flight(now_ms, request, &open);
         self.learn(now_ms, &open, outcome);
-        self.note_trouble(now_ms, &mut open, outcome);
+        self.note_outcome(now_ms, &mut open, outcome);
         self.charge(now_ms, &mut open, outcome);
         let is_answered = open.answered_ms.is_some();
         if let AttemptOutcome::Interrupted { delivered } = outcome {
@@ -92,7 +92,7 @@
         if !is_answered && may_repeat(outcome, open.arrival.is_repeatable) {
             self.retry(now_ms, request, open, outcome, actions);
         } else if !is_answered && matches!(outcome, AttemptOutcome::Interrupted { .. }) {
-            let refusal = self.later(RefusalReason::RetriesExhausted);
+            let refusal = self.retryable_refusal(RefusalReason::RetriesExhausted);
             self.refuse(request, open, refusal, actions);
         } else {
             self.close(request, open);
@@ -100,17 +100,23 @@
     }
 
     /// Ends the accounting of an attempt at its endpoint or region.
-    pub(super) fn leave_place(&mut self, now_ms: Millis, request: RequestId, open: &OpenRequest) {
-        match &open.place {
-            Place::Endpoint(id) => {
-                if let Some(state) = self.known.view.endpoints.get_mut(id) {
-                    state.end(now_ms, request, open.attempt);
+    pub(super) fn clear_in_flight(
+        &mut self,
+        now_ms: Millis,
+        request: RequestId,
+        open: &OpenRequest,
+    ) {
+        match &open.phase {
+            Phase::AtEndpoint(id) => {
+                if let Some(state) = self.inputs.view.endpoints.get_mut(id) {
+                    state.note_ended(now_ms, request, open.attempt);
                 }
             }
-            Place::Away { region, .. } => {
-                self.regions.end(region, &open.arrival.target, request);
+            Phase::Forwarded { region, .. } => {
+                self.region_chooser
+                    .note_ended(region, &open.arrival.target, request);
             }
-            Place::Granting { .. } | Place::Queued | Place::Delayed { .. } => {}
+            Phase::AwaitingGrant { .. } | Phase::Queued | Phase::Delayed { .. } => {}
         }
     }
 
@@ -118,19 +124,19 @@
         let AttemptOutcome::Complete { output, .. } = outcome else {
             return;
         };
-        if let Place::Away { .. } = open.place {
-            let bytes = u64::from(self.known.policy.answer_bytes_per_token) * output.0;
-            self.waste.away = self.waste.away + Bytes(bytes);
+        if let Phase::Forwarded { .. } = open.phase {
+            let bytes = u64::from(self.inputs.policy.answer_bytes_per_token) * output.0;
+            self.waste.inter_region_bytes = self.waste.inter_region_bytes + Bytes(bytes);
             return;
         }
-        let known = &mut self.known;
+        let inputs = &mut self.inputs;
         let run_ms = now_ms - open.sent_ms;
-        known
+        inputs
             .predictor
-            .learn(&known.policy, &open.arrival.target, *output, run_ms);
+            .learn(&inputs.policy, &open.arrival.target, *output, run_ms);
     }
 
-    fn note_trouble(&mut self, now_ms: Millis, open: &mut OpenRequest, outcome: &AttemptOutcome) {
+    fn note_outcome(&mut self, now_ms: Millis, open: &mut OpenRequest, outcome: &AttemptOutcome) {
         let is_leaving = matches!(
             outcome,
             AttemptOutcome::Rejected {
@@ -139,45 +145,45 @@
             }
         );
         let is_unreachable = matches!(outcome, AttemptOutcome::NotSent);
-        let policy = &self.known.policy;
-        let view = &mut self.known.view;
-        match &open.place {
-            Place::Endpoint(id) => {
+        let policy = &self.inputs.policy;
+        let view = &mut self.inputs.view;
+        match &open.phase {
+            Phase::AtEndpoint(id) => {
                 if let Some(state) = view.endpoints.get_mut(id) {
-                    note_endpoint(state, now_ms, outcome, policy);
+                    note_endpoint_outcome(state, now_ms, outcome, policy);
                 }
                 open.tried.push(id.clone());
             }
-            Place::Away { host, .. } => {
+            Phase::Forwarded { host, .. } => {
                 if is_leaving || is_unreachable {
                     let until_ms = now_ms + policy.host_avoid_ms;
                     view.avoid_host(host.clone(), until_ms);
                 }
-                open.has_left |= !is_unreachable;
+                open.was_forwarded |= !is_unreachable;
             }
-            Place::Granting { .. } | Place::Queued | Place::Delayed { .. } => {}
+            Phase::AwaitingGrant { .. } | Phase::Queued | Phase::Delayed { .. } => {}
         }
     }
 
     fn charge(&mut self, now_ms: Millis, open: &mut OpenRequest, outcome: &AttemptOutcome) {
-        if let AttemptOutcome::CallerGone { wasted } = outcome {
+        if let AttemptOutcome::CallerDisconnected { wasted } = outcome {
             self.waste.cancelled = self.waste.cancelled + *wasted;
         }
         let cost = open.cost(outcome);
         if let Some(reservation) = open.reservation.as_mut() {
             self.budget
-                .charge(now_ms, reservation, cost, &self.known.policy);
+                .charge(now_ms, reservation, cost, &self.inputs.policy);
         }
     }
 
     /// Charges an attempt that did not end after it was cancelled, at the most
     /// it can have cost.
-    pub(super) fn write_off(&mut self, now_ms: Millis, request: RequestId) {
+    pub(super) fn abandon_cancelled(&mut self, now_ms: Millis, request: RequestId) {
         let Some(mut open) = self.open.remove(&request) else {
             return;
         };
-        self.leave_place(now_ms, request, &open);
-        let most = AttemptOutcome::CallerGone {
+        self.clear_in_flight(now_ms, request, &open);
+        let most = AttemptOutcome::CallerDisconnected {
             wasted: open.arrival.max_output,
         };
         self.charge(now_ms, &mut open, &most);
@@ -195,9 +201,9 @@
         let hint_ms = retry_hint_ms(outcome);
         let delay_ms = self.retry_delay_ms(&open, hint_ms);
         let is_in_time = now_ms + delay_ms < open.arrival.deadline_ms;
-        let has_attempts = open.attempt.0 + 1 < self.known.policy.max_attempts;
+        let has_attempts = open.attempt.0 + 1 < self.inputs.policy.max_attempts;
         if !is_in_time || !has_attempts || !self.retries.spend() {
-            let wait_ms = hint_ms.unwrap_or(self.known.policy.retry_after_ms);
+            let wait_ms = hint_ms.unwrap_or(self.inputs.policy.retry_after_ms);
             let reason = match now_ms < open.arrival.deadline_ms {
                 true => RefusalReason::RetriesExhausted,
                 false => RefusalReason::DeadlinePassed,
@@ -215,13 +221,13 @@
     }
 
     fn retry_delay_ms(&mut self, open: &OpenRequest, hint_ms: Option<Millis>) -> Millis {
-        let delay_ms = retry::delay(&mut self.rng, &self.known.policy, open.attempt);
-        let known = &self.known;
+        let delay_ms = retry::delay(&mut self.rng, &self.inputs.policy, open.attempt);
+        let inputs = &self.inputs;
         let target = &open.arrival.target;
-        let version = known.version(target).flatten();
-        let mut serving = known
+        let version = inputs.version(target).flatten();
+        let mut serving = inputs
             .view
-            .serving(&known.region, target, version.as_deref());
+            .serving(&inputs.region, target, version.as_deref());
         let has_other = serving.any(|state| !open.tried.contains(&state.info.id));
         match hint_ms {
             Some(hint_ms) if !has_other => delay_ms.max(hint_ms),
@@ -237,17 +243,17 @@
         delay_ms: Millis,
         actions: &mut Vec<Action>,
     ) {
-        if delay_ms <= self.known.policy.retry_now_ms {
-            return self.start(now_ms, request, open, actions);
+        if delay_ms <= self.inputs.policy.retry_now_ms {
+            return self.start_attempt(now_ms, request, open, actions);
         }
         let until_ms = now_ms + delay_ms;
-        open.place = Place::Delayed { until_ms };
+        open.phase = Phase::Delayed { until_ms };
         self.timers.insert((until_ms, request));
         self.open.insert(request, open);
     }
 }
 
-fn note_endpoint(
+fn note_endpoint_outcome(
     state: &mut EndpointState,
     now_ms: Millis,
     outcome: &AttemptOutcome,
@@ -260,11 +266,11 @@
         AttemptOutcome::Rejected { .. } => state.note_rejection(now_ms, policy),
         AttemptOutcome::NotSent
         | AttemptOutcome::Interrupted { .. }
-        | AttemptOutcome::Broken { .. } => {
+        | AttemptOutcome::Truncated { .. } => {
             state.note_failure(now_ms, policy);
         }
         AttemptOutcome::Complete { .. } => state.note_success(),
-        AttemptOutcome::Failed { .. } | AttemptOutcome::CallerGone { .. } => {}
+        AttemptOutcome::Failed { .. } | AttemptOutcome::CallerDisconnected { .. } => {}
     }
 }
 
--- a/src/decision/budget.rs
+++ b/src/decision/budget.rs
@@ -11,7 +11,7 @@
 
 use super::policy::{
     Policy,
-    share, //
+    fraction, //
 };
 use crate::{
     intent::{
@@ -29,7 +29,7 @@
 };
 
 /// Periods kept for requests that started in them, the current one included.
-const KEPT_PERIODS: usize = 3;
+const RETAINED_PERIODS: usize = 3;
 
 /// What a run of a target costs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -115,7 +115,7 @@
     /// Tokens generated for callers that had gone, or by broken exchanges.
     pub cancelled: Tokens,
     /// Bytes sent to and received from other regions.
-    pub away: Bytes,
+    pub inter_region_bytes: Bytes,
 }
 
 #[derive(Debug, Default)]
@@ -125,7 +125,7 @@
     /// Charges, fading over the time that a grant covers.
     demand: f64,
     demand_at_ms: Millis,
-    asked_ms: Option<Millis>,
+    requested_ms: Option<Millis>,
     /// Largest shortfall of a request that waits for a grant.
     shortfall: CostMicros,
     refused_period_ms: Option<Millis>,
@@ -167,7 +167,7 @@
     ) -> Result<Reservation, Shortage> {
         let account = self.accounts.entry(caller.clone()).or_default();
         let period_start_ms = period_start(now_ms, intent);
-        account.cover(now_ms, period_start_ms, intent, amount, policy)?;
+        account.ensure_available(now_ms, period_start_ms, intent, amount, policy)?;
         let ledger = account.ledger(period_start_ms);
         ledger.reserved = ledger.reserved + amount;
         Ok(Reservation {
@@ -208,7 +208,7 @@
     }
 
     /// The amount to ask for now, if the share is running low.
-    pub fn take_ask(
+    pub fn take_grant_request(
         &mut self,
         now_ms: Millis,
         caller: &CallerId,
@@ -216,13 +216,13 @@
         policy: &Policy,
     ) -> Option<CostMicros> {
         let account = self.accounts.get_mut(caller)?;
-        account.take_ask(now_ms, period_start(now_ms, intent), intent, policy)
+        account.take_grant_request(now_ms, period_start(now_ms, intent), intent, policy)
     }
 
     /// Adds a grant.
     pub fn granted(&mut self, caller: &CallerId, period_start_ms: Millis, amount: CostMicros) {
         let account = self.accounts.entry(caller.clone()).or_default();
-        account.asked_ms = None;
+        account.requested_ms = None;
         account.shortfall = CostMicros(0);
         account.is_unavailable = false;
         let ledger = account.ledger(period_start_ms);
@@ -232,7 +232,7 @@
     /// Notes that there is nothing left of the budget of a period.
     pub fn refused(&mut self, caller: &CallerId, period_start_ms: Millis) {
         let account = self.accounts.entry(caller.clone()).or_default();
-        account.asked_ms = None;
+        account.requested_ms = None;
         account.shortfall = CostMicros(0);
         account.is_unavailable = false;
         account.refused_period_ms = Some(period_start_ms);
@@ -254,13 +254,14 @@
 
 impl Account {
     fn ledger(&mut self, period_start_ms: Millis) -> &mut Ledger {
-        while self.ledgers.len() >= KEPT_PERIODS && !self.ledgers.contains_key(&period_start_ms) {
+        while self.ledgers.len() >= RETAINED_PERIODS && !self.ledgers.contains_key(&period_start_ms)
+        {
             self.ledgers.pop_first();
         }
         self.ledgers.entry(period_start_ms).or_default()
     }
 
-    fn cover(
+    fn ensure_available(
         &mut self,
         now_ms: Millis,
         period_start_ms: Millis,
@@ -282,17 +283,17 @@
             self.shortfall = self.shortfall.max(missing);
             return Err(Shortage::AwaitingGrant);
         }
-        self.draw(period_start_ms, intent, missing, policy)
+        self.draw_allowance(period_start_ms, intent, missing, policy)
     }
 
-    fn draw(
+    fn draw_allowance(
         &mut self,
         period_start_ms: Millis,
         intent: &CallerIntent,
         missing: CostMicros,
         policy: &Policy,
     ) -> Result<(), Shortage> {
-        let allowance = part(intent.budget_micros, policy.outage_permille);
+        let allowance = permille_of(intent.budget_micros, policy.outage_permille);
         if self.allowance_used + missing > allowance {
             self.shortfall = self.shortfall.max(missing);
             return Err(Shortage::Exhausted {
@@ -306,17 +307,17 @@
     }
 
     fn note_demand(&mut self, now_ms: Millis, cost: CostMicros, policy: &Policy) {
-        self.demand = self.faded_demand(now_ms, policy) + cost.0 as f64;
+        self.demand = self.decayed_demand(now_ms, policy) + cost.0 as f64;
         self.demand_at_ms = now_ms;
     }
 
     /// Charges of about the last `grant_cover_ms`.
-    fn faded_demand(&self, now_ms: Millis, policy: &Policy) -> f64 {
+    fn decayed_demand(&self, now_ms: Millis, policy: &Policy) -> f64 {
         let elapsed = (now_ms - self.demand_at_ms).0 as f64;
         self.demand * (-elapsed / policy.grant_cover_ms.0.max(1) as f64).exp()
     }
 
-    fn take_ask(
+    fn take_grant_request(
         &mut self,
         now_ms: Millis,
         period_start_ms: Millis,
@@ -325,24 +326,24 @@
     ) -> Option<CostMicros> {
         let is_refused = self.refused_period_ms == Some(period_start_ms);
         let is_pending = self
-            .asked_ms
-            .is_some_and(|asked_ms| now_ms - asked_ms < policy.grant_retry_ms);
+            .requested_ms
+            .is_some_and(|requested_ms| now_ms - requested_ms < policy.grant_retry_ms);
         if is_refused || is_pending {
             return None;
         }
         let size = self.grant_size(now_ms, intent, policy);
-        let low = part(size, policy.grant_low_permille);
+        let low = permille_of(size, policy.grant_low_permille);
         let is_low = self.ledger(period_start_ms).available() < low;
         if !is_low && self.shortfall == CostMicros(0) {
             return None;
         }
-        self.asked_ms = Some(now_ms);
+        self.requested_ms = Some(now_ms);
         Some(size.max(self.shortfall))
     }
 
     fn grant_size(&self, now_ms: Millis, intent: &CallerIntent, policy: &Policy) -> CostMicros {
-        let demand = CostMicros(self.faded_demand(now_ms, policy).ceil() as u64);
-        let largest = part(intent.budget_micros, policy.grant_max_permille);
+        let demand = CostMicros(self.decayed_demand(now_ms, policy).ceil() as u64);
+        let largest = permille_of(intent.budget_micros, policy.grant_max_permille);
         let smallest = policy.grant_min.min(intent.budget_micros);
         demand.min(largest).max(smallest)
     }
@@ -352,6 +353,6 @@
     Millis(now_ms.0 - now_ms.0 % intent.period_ms.0.max(1))
 }
 
-fn part(amount: CostMicros, permille: u16) -> CostMicros {
-    CostMicros((amount.0 as f64 * share(permille)) as u64)
+fn permille_of(amount: CostMicros, permille: u16) -> CostMicros {
+    CostMicros((amount.0 as f64 * fraction(permille)) as u64)
 }
--- a/src/decision/place.rs
+++ b/src/decision/dispatch.rs
@@ -4,24 +4,24 @@
     Gateway,
     admission::{
         Admission,
-        Drain,
+        DrainRate,
         admit, //
     },
     context::Context,
-    endpoint::{
+    endpoint_choice::{
         self,
         Candidate,
-        Demand, //
+        EndpointQuery, //
     },
     event::{
         Action,
         Refusal,
         RefusalReason, //
     },
-    region::HomeOutlook,
+    region_choice::LocalEstimate,
     request::{
         OpenRequest,
-        Place, //
+        Phase, //
     },
     view::ForwardHost, //
 };
@@ -43,7 +43,7 @@
 
 impl Gateway {
     /// Decides on a request that is neither open nor queued, and does it.
-    pub(super) fn place(
+    pub(super) fn dispatch(
         &mut self,
         now_ms: Millis,
         request: RequestId,
@@ -54,12 +54,12 @@
         match self.decide(now_ms, &open, ahead) {
             Decision::Wait => {
                 let target = open.arrival.target.clone();
-                self.wait(request, open);
+                self.enqueue(request, open);
                 // Those ahead may wait for an endpoint that this one does not
                 // need.
-                self.release(now_ms, &target, actions);
+                self.dispatch_queued(now_ms, &target, actions);
             }
-            decision => self.carry_out(now_ms, request, open, decision, actions),
+            decision => self.execute(now_ms, request, open, decision, actions),
         }
     }
 
@@ -67,9 +67,14 @@
     ///
     /// One that waits for an endpoint with its prefix does not hold up those
     /// behind it.
-    pub(super) fn release(&mut self, now_ms: Millis, target: &Target, actions: &mut Vec<Action>) {
+    pub(super) fn dispatch_queued(
+        &mut self,
+        now_ms: Millis,
+        target: &Target,
+        actions: &mut Vec<Action>,
+    ) {
         let waiting = self.queue.in_order(target);
-        for request in waiting.into_iter().take(self.known.policy.release_scan) {
+        for request in waiting.into_iter().take(self.inputs.policy.release_scan) {
             let Some(open) = self.open.remove(&request) else {
                 continue;
             };
@@ -79,14 +84,14 @@
                 continue;
             }
             self.queue.remove(target, open.arrival.tier, request);
-            self.carry_out(now_ms, request, open, decision, actions);
+            self.execute(now_ms, request, open, decision, actions);
         }
     }
 
     /// The same for all targets.
-    pub(super) fn release_all(&mut self, now_ms: Millis, actions: &mut Vec<Action>) {
+    pub(super) fn dispatch_all_queued(&mut self, now_ms: Millis, actions: &mut Vec<Action>) {
         for target in self.queue.targets() {
-            self.release(now_ms, &target, actions);
+            self.dispatch_queued(now_ms, &target, actions);
         }
     }
 
@@ -96,73 +101,73 @@
     }
 
     fn decide(&mut self, now_ms: Millis, open: &OpenRequest, ahead: usize) -> Decision {
-        if open.left_ms(now_ms) == Millis(0) {
+        if open.remaining_ms(now_ms) == Millis(0) {
             return Decision::Refuse(Refusal::new(RefusalReason::DeadlinePassed));
         }
-        let Some(version) = self.known.version(&open.arrival.target) else {
+        let Some(version) = self.inputs.version(&open.arrival.target) else {
             return Decision::Refuse(Refusal::new(RefusalReason::UnknownTarget));
         };
-        let demand = open.demand(now_ms, version.as_deref(), &self.known.policy);
-        let candidates = endpoint::candidates(&self.known.context(now_ms), &demand);
-        if let Some((region, host)) = self.choose_away(now_ms, open, &candidates, ahead) {
+        let query = open.endpoint_query(now_ms, version.as_deref(), &self.inputs.policy);
+        let candidates = endpoint_choice::candidates(&self.inputs.context(now_ms), &query);
+        if let Some((region, host)) = self.choose_remote(now_ms, open, &candidates, ahead) {
             return Decision::Forward(region, host);
         }
         if candidates.is_empty() {
-            return Decision::Refuse(self.later(RefusalReason::NoEndpoint));
+            return Decision::Refuse(self.retryable_refusal(RefusalReason::NoEndpoint));
         }
-        match self.choose_here(now_ms, open, &demand, &candidates, ahead) {
+        match self.choose_local(now_ms, open, &query, &candidates, ahead) {
             Some(chosen) => Decision::Send(chosen),
             None => self.wait_or_refuse(now_ms, open, &candidates, ahead),
         }
     }
 
-    fn choose_away(
+    fn choose_remote(
         &mut self,
         now_ms: Millis,
         open: &OpenRequest,
         candidates: &[Candidate],
         ahead: usize,
     ) -> Option<(RegionId, ForwardHost)> {
-        if !open.may_leave() {
+        if !open.may_forward() {
             return None;
         }
         self.region_turn = self.region_turn.wrapping_add(1);
         let turn = self.region_turn;
-        let context = self.known.context(now_ms);
-        let home = outlook(&context, &open.arrival.target, candidates, ahead);
-        let trip = open.trip(now_ms);
-        self.regions
-            .choose(&context, &trip, home, turn, &mut self.rng)
+        let context = self.inputs.context(now_ms);
+        let local = local_estimate(&context, &open.arrival.target, candidates, ahead);
+        let query = open.region_query(now_ms);
+        self.region_chooser
+            .choose(&context, &query, local, turn, &mut self.rng)
     }
 
     /// An endpoint that has room and finishes in time.
-    fn choose_here(
+    fn choose_local(
         &mut self,
         now_ms: Millis,
         open: &OpenRequest,
-        demand: &Demand<'_>,
+        query: &EndpointQuery<'_>,
         candidates: &[Candidate],
         ahead: usize,
     ) -> Option<EndpointId> {
-        let policy = &self.known.policy;
+        let policy = &self.inputs.policy;
         let is_predictive = policy.routing.is_predictive();
         if is_predictive && ahead > 0 {
             return None;
         }
         self.endpoint_turn = self.endpoint_turn.wrapping_add(1);
         let turn = self.endpoint_turn;
-        let left_ms = open.left_ms(now_ms).0 as f64;
-        let is_late = |one: &Candidate| one.prediction.finish_ms() > left_ms;
-        let chosen = endpoint::choose(candidates, demand, policy, turn, &mut self.rng)?;
+        let remaining_ms = open.remaining_ms(now_ms).0 as f64;
+        let is_late = |one: &Candidate| one.prediction.finish_ms() > remaining_ms;
+        let chosen = endpoint_choice::choose(candidates, query, policy, turn, &mut self.rng)?;
         if !is_predictive || !is_late(chosen) {
             return Some(chosen.endpoint.clone());
         }
-        let open_ones: Vec<Candidate> = candidates
+        let available: Vec<Candidate> = candidates
             .iter()
             .filter(|one| !one.is_full())
             .cloned()
             .collect();
-        let earliest = endpoint::earliest(&open_ones).filter(|one| !is_late(one));
+        let earliest = endpoint_choice::earliest(&available).filter(|one| !is_late(one));
         earliest.map(|one| one.endpoint.clone())
     }
 
@@ -173,21 +178,26 @@
         candidates: &[Candidate],
         ahead: usize,
     ) -> Decision {
-        let context = self.known.context(now_ms);
+        let context = self.inputs.context(now_ms);
         let has_room = ahead == 0 && candidates.iter().any(|one| !one.is_full());
         let wait_ms = match has_room {
             true => 0.0,
-            false => drain(&context, &open.arrival.target, candidates).wait_ms(ahead),
+            false => drain_rate(&context, &open.arrival.target, candidates).wait_ms(ahead),
         };
         let usable = candidates.iter().filter(|one| !has_room || !one.is_full());
         let runs = usable.map(|one| one.prediction.run_ms());
         let run_ms = runs.fold(f64::INFINITY, f64::min);
-        let admission = admit(wait_ms, run_ms, open.left_ms(now_ms), &self.known.policy);
-        let is_queue_full = self.queue.len() >= self.known.policy.max_queue_len;
+        let admission = admit(
+            wait_ms,
+            run_ms,
+            open.remaining_ms(now_ms),
+            &self.inputs.policy,
+        );
+        let is_queue_full = self.queue.len() >= self.inputs.policy.max_queue_len;
         match admission {
-            Admission::Wait if open.place == Place::Queued => Decision::Wait,
+            Admission::Wait if open.phase == Phase::Queued => Decision::Wait,
             Admission::Wait if !is_queue_full => Decision::Wait,
-            Admission::Wait => Decision::Refuse(self.later(RefusalReason::Overloaded)),
+            Admission::Wait => Decision::Refuse(self.retryable_refusal(RefusalReason::Overloaded)),
             Admission::Refuse { retry_after_ms } => {
                 let refusal = Refusal::new(RefusalReason::Overloaded);
                 Decision::Refuse(refusal.with_retry_after(retry_after_ms))
@@ -195,14 +205,14 @@
         }
     }
 
-    fn wait(&mut self, request: RequestId, mut open: OpenRequest) {
-        open.place = Place::Queued;
+    fn enqueue(&mut self, request: RequestId, mut open: OpenRequest) {
+        open.phase = Phase::Queued;
         let arrival = &open.arrival;
         self.queue.push(&arrival.target, arrival.tier, request);
         self.open.insert(request, open);
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         now_ms: Millis,
         request: RequestId,
@@ -218,7 +228,7 @@
                 self.forward(now_ms, request, open, region, host, actions);
             }
             Decision::Refuse(refusal) => self.refuse(request, open, refusal, actions),
-            Decision::Wait => self.wait(request, open),
+            Decision::Wait => self.enqueue(request, open),
         }
     }
 
@@ -230,19 +240,19 @@
         endpoint: EndpointId,
         actions: &mut Vec<Action>,
     ) {
-        let Some(state) = self.known.view.endpoints.get_mut(&endpoint) else {
-            let refusal = self.later(RefusalReason::NoEndpoint);
+        let Some(state) = self.inputs.view.endpoints.get_mut(&endpoint) else {
+            let refusal = self.retryable_refusal(RefusalReason::NoEndpoint);
             return self.refuse(request, open, refusal, actions);
         };
         let prefixes = &open.arrival.prefix_hashes;
-        state.start(now_ms, request, open.attempt, prefixes, &self.known.policy);
+        state.note_sent(now_ms, request, open.attempt, prefixes, &self.inputs.policy);
         actions.push(Action::Send {
             request,
             attempt: open.attempt,
             endpoint: endpoint.clone(),
             address: state.info.address,
         });
-        open.place = Place::Endpoint(endpoint);
+        open.phase = Phase::AtEndpoint(endpoint);
         self.open.insert(request, open);
     }
 
@@ -255,10 +265,11 @@
         host: ForwardHost,
         actions: &mut Vec<Action>,
     ) {
-        let context = self.known.context(now_ms);
-        let trip = open.trip(now_ms);
-        self.regions.start(&context, &region, request, &trip);
-        self.waste.away = self.waste.away + open.arrival.body;
+        let context = self.inputs.context(now_ms);
+        let query = open.region_query(now_ms);
+        self.region_chooser
+            .note_sent(&context, &region, request, &query);
+        self.waste.inter_region_bytes = self.waste.inter_region_bytes + open.arrival.body;
         actions.push(Action::Forward {
             request,
             attempt: open.attempt,
@@ -267,7 +278,7 @@
             region: region.clone(),
             allowed: open.allowed.clone(),
         });
-        open.place = Place::Away {
+        open.phase = Phase::Forwarded {
             region,
             host: host.host,
         };
@@ -296,23 +307,26 @@
 }
 
 /// How the queue of a target drains.
-fn drain(context: &Context<'_>, target: &Target, candidates: &[Candidate]) -> Drain {
-    Drain {
+fn drain_rate(context: &Context<'_>, target: &Target, candidates: &[Candidate]) -> DrainRate {
+    DrainRate {
         slots: candidates.iter().map(|one| one.slots).sum(),
         hosts: context.host_count(),
         run_ms: context.predictor.typical_run_ms(context.policy, target),
     }
 }
 
-fn outlook(
+fn local_estimate(
     context: &Context<'_>,
     target: &Target,
     candidates: &[Candidate],
     ahead: usize,
-) -> HomeOutlook {
+) -> LocalEstimate {
     let slots: f64 = candidates.iter().map(|one| one.slots).sum();
     let load: f64 = candidates.iter().map(|one| one.load).sum();
-    let reported: f64 = candidates.iter().map(|one| f64::from(one.reported)).sum();
+    let reported: f64 = candidates
+        .iter()
+        .map(|one| f64::from(one.reported_requests))
+        .sum();
     let per_slot = |requests: f64| if slots > 0.0 { requests / slots } else { 0.0 };
     let open = candidates.iter().filter(|one| !one.is_full());
     let soonest = open
@@ -320,11 +334,12 @@
         .min_by(f64::total_cmp);
     let runs = candidates.iter().map(|one| one.prediction.run_ms());
     let run_ms = runs.min_by(f64::total_cmp);
-    let queued = run_ms.map(|run_ms| run_ms + drain(context, target, candidates).wait_ms(ahead));
-    HomeOutlook {
+    let queued =
+        run_ms.map(|run_ms| run_ms + drain_rate(context, target, candidates).wait_ms(ahead));
+    LocalEstimate {
         finish_ms: soonest.filter(|_| ahead == 0).or(queued),
-        ratio: per_slot(load),
-        reported_ratio: per_slot(reported),
+        load_per_slot: per_slot(load),
+        reported_load_per_slot: per_slot(reported),
         slots,
         endpoint_slots: match candidates.len() {
             0 => f64::from(context.policy.default_slots),
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint_choice.rs
@@ -18,7 +18,7 @@
     policy::{
         Policy,
         Routing,
-        share, //
+        fraction, //
     },
     predict::{
         Prediction,
@@ -35,7 +35,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
+pub struct EndpointQuery<'a> {
     /// What it is for.
     pub target: &'a Target,
     /// Version that the endpoint must serve; `None` for services.
@@ -49,7 +49,7 @@
     /// Endpoints that have already failed it.
     pub tried: &'a [EndpointId],
     /// Whether it may wait for an endpoint that has its prefix cached.
-    pub may_wait: bool,
+    pub may_wait_for_cache: bool,
 }
 
 /// An endpoint that could serve a request.
@@ -60,7 +60,7 @@
     /// Estimated requests there.
     pub load: f64,
     /// Requests that the newest report shows, whatever its age.
-    pub reported: u32,
+    pub reported_requests: u32,
     /// Requests that it runs at the same time.
     pub slots: f64,
     /// Leading blocks of the prompt that it probably has cached.
@@ -81,21 +81,21 @@
 ///
 /// Those that have failed it, or any request lately, are left out if there are
 /// others.
-pub fn candidates(context: &Context<'_>, demand: &Demand<'_>) -> Vec<Candidate> {
+pub fn candidates(context: &Context<'_>, query: &EndpointQuery<'_>) -> Vec<Candidate> {
     let (now_ms, policy) = (context.now_ms, context.policy);
     let view = context.view;
-    let serving = view.serving(context.region, demand.target, demand.version);
+    let serving = view.serving(context.region, query.target, query.version);
     let states: Vec<&EndpointState> = serving
-        .filter(|state| state.info.can_continue || !demand.needs_continuation)
+        .filter(|state| state.info.can_continue || !query.needs_continuation)
         .collect();
     let hosts = context.host_count();
-    let prior = prior_ratio(&states, now_ms, policy);
-    preferred(states, now_ms, demand)
+    let prior = mean_load_per_slot(&states, now_ms, policy);
+    preferred(states, now_ms, query)
         .into_iter()
         .map(|state| {
             let prior = prior * f64::from(state.info.slots);
             let load = state.load(now_ms, prior, hosts, policy);
-            candidate(context, state, load, demand)
+            candidate(context, state, load, query)
         })
         .collect()
 }
@@ -105,52 +105,56 @@
 fn preferred<'a>(
     states: Vec<&'a EndpointState>,
     now_ms: Millis,
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
 ) -> Vec<&'a EndpointState> {
-    let rank = |state: &EndpointState| (is_tried(state, demand), state.is_avoided(now_ms));
+    let rank = |state: &EndpointState| (is_tried(state, query), state.is_avoided(now_ms));
     let best = states.iter().map(|state| rank(state)).min();
     let is_best = |state: &&EndpointState| Some(rank(state)) == best;
     states.into_iter().filter(is_best).collect()
 }
 
 /// Mean reported load of endpoints for each slot, weighted by report age.
-pub(super) fn prior_ratio(states: &[&EndpointState], now_ms: Millis, policy: &Policy) -> f64 {
+pub(super) fn mean_load_per_slot(
+    states: &[&EndpointState],
+    now_ms: Millis,
+    policy: &Policy,
+) -> f64 {
     let mut load = 0.0;
     let mut slots = 0.0;
     for state in states {
         let weight = state.report_weight(now_ms, policy);
-        load += weight * f64::from(state.reported().unwrap_or(0));
+        load += weight * f64::from(state.reported_requests().unwrap_or(0));
         slots += weight * f64::from(state.info.slots);
     }
     if slots > 0.0 { load / slots } else { 0.0 }
 }
 
-fn is_tried(state: &EndpointState, demand: &Demand<'_>) -> bool {
-    demand.tried.contains(&state.info.id)
+fn is_tried(state: &EndpointState, query: &EndpointQuery<'_>) -> bool {
+    query.tried.contains(&state.info.id)
 }
 
 fn candidate(
     context: &Context<'_>,
     state: &EndpointState,
     load: f64,
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
 ) -> Candidate {
     let policy = context.policy;
     let predictor = context.predictor;
     let slots = f64::from(state.info.slots);
-    let cached_blocks = state.prefixes.known_blocks(demand.prefix_hashes);
+    let cached_blocks = state.prefixes.known_blocks(query.prefix_hashes);
     let cached = Tokens(policy.prefix_block.0.saturating_mul(cached_blocks as u64));
     let work = Work {
-        prompt: demand.work.prompt - cached,
-        ..demand.work
+        prompt: query.work.prompt - cached,
+        ..query.work
     };
     Candidate {
         endpoint: state.info.id.clone(),
         load,
-        reported: state.reported().unwrap_or(0),
+        reported_requests: state.reported_requests().unwrap_or(0),
         slots,
         cached_blocks,
-        prediction: predictor.predict(policy, demand.target, work, load, slots),
+        prediction: predictor.predict(policy, query.target, work, load, slots),
     }
 }
 
@@ -168,7 +172,7 @@
 /// endpoints, which then queue. `turn` counts the choices for `RoundRobin`.
 pub fn choose<'a, R>(
     candidates: &'a [Candidate],
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
     policy: &Policy,
     turn: usize,
     rng: &mut R,
@@ -180,7 +184,7 @@
         return None;
     }
     match policy.routing {
-        Routing::Adaptive | Routing::HomeOnly => adaptive(candidates, demand, policy, rng),
+        Routing::Adaptive | Routing::HomeOnly => adaptive(candidates, query, policy, rng),
         Routing::Random => candidates.get(rng.random_range(0..candidates.len())),
         Routing::RoundRobin => candidates.get(turn % candidates.len()),
         Routing::LeastReported => least_reported(candidates, rng),
@@ -191,7 +195,7 @@
 where
     R: Rng,
 {
-    let ratio = |one: &Candidate| f64::from(one.reported) / one.slots;
+    let ratio = |one: &Candidate| f64::from(one.reported_requests) / one.slots;
     let least = candidates.iter().map(ratio).min_by(f64::total_cmp)?;
     let equals: Vec<&Candidate> = candidates
         .iter()
@@ -204,20 +208,20 @@
 
 fn adaptive<'a, R>(
     candidates: &'a [Candidate],
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
     policy: &Policy,
     rng: &mut R,
 ) -> Option<&'a Candidate>
 where
     R: Rng,
 {
-    let open: Vec<&Candidate> = candidates.iter().filter(|one| !one.is_full()).collect();
-    if demand.may_wait && is_worth_waiting(candidates, &open, policy) {
+    let available: Vec<&Candidate> = candidates.iter().filter(|one| !one.is_full()).collect();
+    if query.may_wait_for_cache && is_worth_waiting(candidates, &available, policy) {
         return None;
     }
-    let near = near_equals(&open, policy);
-    if let Some(home) = affine(&open, &near, demand, policy) {
-        return Some(home);
+    let near = near_equals(&available, policy);
+    if let Some(chosen) = by_affinity(&available, &near, query, policy) {
+        return Some(chosen);
     }
     less_loaded_of_two(&near, rng)
 }
@@ -227,50 +231,52 @@
 /// In a full region every slot that becomes free is somewhere else. Taking the
 /// first one would prefill the whole prompt again and evict other prefixes, and
 /// the lost time keeps the region full.
-fn is_worth_waiting(candidates: &[Candidate], open: &[&Candidate], policy: &Policy) -> bool {
+fn is_worth_waiting(candidates: &[Candidate], available: &[&Candidate], policy: &Policy) -> bool {
     let most = candidates.iter().map(|one| one.cached_blocks).max();
-    let most_open = open.iter().map(|one| one.cached_blocks).max();
-    most.unwrap_or(0) >= most_open.unwrap_or(0) + policy.affinity_wait_blocks
+    let most_available = available.iter().map(|one| one.cached_blocks).max();
+    most.unwrap_or(0) >= most_available.unwrap_or(0) + policy.affinity_wait_blocks
 }
 
-fn near_equals<'a>(open: &[&'a Candidate], policy: &Policy) -> Vec<&'a Candidate> {
-    let finishes = open.iter().map(|one| one.prediction.finish_ms());
+fn near_equals<'a>(available: &[&'a Candidate], policy: &Policy) -> Vec<&'a Candidate> {
+    let finishes = available.iter().map(|one| one.prediction.finish_ms());
     let best = finishes.fold(f64::INFINITY, f64::min);
-    let slack = (best * share(policy.near_equal_permille)).max(policy.near_equal_ms.0 as f64);
+    let slack = (best * fraction(policy.near_equal_permille)).max(policy.near_equal_ms.0 as f64);
     let is_near = |one: &&&Candidate| one.prediction.finish_ms() <= best + slack;
-    open.iter().filter(is_near).copied().collect()
+    available.iter().filter(is_near).copied().collect()
 }
 
 /// The endpoint whose cache the prompt should use.
-fn affine<'a>(
-    open: &[&'a Candidate],
+fn by_affinity<'a>(
+    available: &[&'a Candidate],
     near: &[&'a Candidate],
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
     policy: &Policy,
 ) -> Option<&'a Candidate> {
-    let deepest = demand.prefix_hashes.len().min(policy.affinity_blocks);
-    let key = demand.prefix_hashes.get(deepest.checked_sub(1)?)?;
+    let deepest = query.prefix_hashes.len().min(policy.affinity_blocks);
+    let key = query.prefix_hashes.get(deepest.checked_sub(1)?)?;
     let rank = |one: &&Candidate| xxh3_64_with_seed(one.endpoint.as_str().as_bytes(), *key);
-    let bound = load_bound(open, policy);
-    let holders = near.iter().filter(|one| one.cached_blocks > 0);
-    let most_blocks = holders.clone().map(|one| one.cached_blocks).max();
-    let holder = holders
-        .filter(|one| Some(one.cached_blocks) == most_blocks && is_within(one, bound, policy))
+    let bound = load_bound(available, policy);
+    let caching = near.iter().filter(|one| one.cached_blocks > 0);
+    let most_blocks = caching.clone().map(|one| one.cached_blocks).max();
+    let best_cached = caching
+        .filter(|one| Some(one.cached_blocks) == most_blocks && is_within_bound(one, bound, policy))
         .max_by_key(|one| rank(one));
-    holder.copied().or_else(|| {
-        let within = open.iter().filter(|one| is_within(one, bound, policy));
+    best_cached.copied().or_else(|| {
+        let within = available
+            .iter()
+            .filter(|one| is_within_bound(one, bound, policy));
         within.max_by_key(|one| rank(one)).copied()
     })
 }
 
 /// Load for each slot up to which affinity holds.
-fn load_bound(open: &[&Candidate], policy: &Policy) -> f64 {
-    let load: f64 = open.iter().map(|one| one.load).sum();
-    let slots: f64 = open.iter().map(|one| one.slots).sum();
-    load / slots.max(1.0) * share(policy.bounded_load_permille)
+fn load_bound(available: &[&Candidate], policy: &Policy) -> f64 {
+    let load: f64 = available.iter().map(|one| one.load).sum();
+    let slots: f64 = available.iter().map(|one| one.slots).sum();
+    load / slots.max(1.0) * fraction(policy.bounded_load_permille)
 }
 
-fn is_within(one: &Candidate, bound: f64, policy: &Policy) -> bool {
+fn is_within_bound(one: &Candidate, bound: f64, policy: &Policy) -> bool {
     one.load <= bound * one.slots + f64::from(policy.affinity_slack)
 }
 
--- a/src/decision/load.rs
+++ b/src/decision/endpoint_state.rs
@@ -10,7 +10,7 @@
 use super::{
     policy::{
         Policy,
-        share, //
+        fraction, //
     },
     prefix::PrefixMemory,
     view::{
@@ -48,7 +48,7 @@
     leaving: Option<LeavingMark>,
     failures: u32,
     avoid_until_ms: Millis,
-    past: Vec<Incarnation>,
+    past_incarnations: Vec<Incarnation>,
     sends: BTreeMap<(RequestId, Attempt), Millis>,
     ended: Vec<EndedSend>,
 }
@@ -76,7 +76,7 @@
             leaving: None,
             failures: 0,
             avoid_until_ms: Millis(0),
-            past: Vec::new(),
+            past_incarnations: Vec::new(),
             sends: BTreeMap::new(),
             ended: Vec::new(),
         };
@@ -113,18 +113,18 @@
     ///
     /// Only a change to leaving counts: a list that lags would otherwise mark
     /// the next run of an endpoint too.
-    pub fn relist(&mut self, info: EndpointInfo) {
-        let turns_leaving = info.is_leaving && !self.info.is_leaving;
+    pub fn update_info(&mut self, info: EndpointInfo) {
+        let starts_leaving = info.is_leaving && !self.info.is_leaving;
         self.info = info;
         self.unlisted_ms = None;
-        if turns_leaving {
+        if starts_leaving {
             self.mark_leaving();
         }
     }
 
     /// Takes over a report unless a newer one is known.
     pub fn apply_report(&mut self, report: EndpointReport) {
-        if self.past.contains(&report.incarnation) {
+        if self.past_incarnations.contains(&report.incarnation) {
             return;
         }
         let known = self
@@ -143,7 +143,7 @@
 
     fn apply_newer(&mut self, report: EndpointReport, is_same_run: bool) {
         if !is_same_run {
-            self.start_run();
+            self.begin_run();
         }
         if let Some(mark) = self.leaving.as_mut() {
             mark.incarnation.get_or_insert(report.incarnation);
@@ -157,20 +157,20 @@
         }
     }
 
-    fn start_run(&mut self) {
+    fn begin_run(&mut self) {
         self.leaving = None;
         self.note_success();
         self.prefixes.clear();
         if let Some(old) = self.report.take() {
-            self.past.push(old.incarnation);
+            self.past_incarnations.push(old.incarnation);
         }
-        if self.past.len() > PAST_INCARNATIONS {
-            self.past.remove(0);
+        if self.past_incarnations.len() > PAST_INCARNATIONS {
+            self.past_incarnations.remove(0);
         }
     }
 
     /// Notes a request sent there.
-    pub fn start(
+    pub fn note_sent(
         &mut self,
         now_ms: Millis,
         request: RequestId,
@@ -183,7 +183,7 @@
     }
 
     /// Notes that an attempt there has ended.
-    pub fn end(&mut self, now_ms: Millis, request: RequestId, attempt: Attempt) {
+    pub fn note_ended(&mut self, now_ms: Millis, request: RequestId, attempt: Attempt) {
         let Some(sent_ms) = self.sends.remove(&(request, attempt)) else {
             return;
         };
@@ -240,7 +240,7 @@
     }
 
     /// Requests that the newest report shows.
-    pub fn reported(&self) -> Option<u32> {
+    pub fn reported_requests(&self) -> Option<u32> {
         let report = self.report.as_ref()?;
         Some(report.running.saturating_add(report.waiting))
     }
@@ -252,15 +252,15 @@
     pub fn load(&self, now_ms: Millis, prior: f64, hosts: usize, policy: &Policy) -> f64 {
         let weight = self.report_weight(now_ms, policy);
         let measured_ms = self.report.as_ref().map(|report| report.measured_ms);
-        let is_before = |sent_ms: Millis| measured_ms.is_some_and(|at_ms| sent_ms <= at_ms);
-        let before = self.sends.values().filter(|at| is_before(**at)).count();
-        let after = self.sends.len() - before;
-        let gone = self.ended.iter().filter(|end| is_before(end.sent_ms));
-        let gone = gone.count() as f64;
-        let reported = f64::from(self.reported().unwrap_or(0));
-        let seen = (reported - gone).max(before as f64);
-        let unseen = prior + before as f64;
-        let per_send = 1.0 + share(policy.peer_send_permille) * hosts.saturating_sub(1) as f64;
-        weight * seen + (1.0 - weight) * unseen + after as f64 * per_send
+        let is_covered = |sent_ms: Millis| measured_ms.is_some_and(|at_ms| sent_ms <= at_ms);
+        let covered = self.sends.values().filter(|at| is_covered(**at)).count();
+        let uncovered = self.sends.len() - covered;
+        let ended = self.ended.iter().filter(|end| is_covered(end.sent_ms));
+        let ended = ended.count() as f64;
+        let reported = f64::from(self.reported_requests().unwrap_or(0));
+        let from_report = (reported - ended).max(covered as f64);
+        let from_prior = prior + covered as f64;
+        let per_send = 1.0 + fraction(policy.peer_send_permille) * hosts.saturating_sub(1) as f64;
+        weight * from_report + (1.0 - weight) * from_prior + uncovered as f64 * per_send
     }
 }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -110,7 +110,7 @@
         delivered: Tokens,
     },
     /// The exchange broke after part of an answer that cannot be continued.
-    Broken {
+    Truncated {
         /// Tokens that the caller has already received.
         delivered: Tokens,
     },
@@ -120,7 +120,7 @@
         status: u16,
     },
     /// The caller went away.
-    CallerGone {
+    CallerDisconnected {
         /// Tokens that were generated for nothing.
         wasted: Tokens,
     },
@@ -284,7 +284,7 @@
         attempt: Attempt,
     },
     /// Ask the platform's service for a spending share.
-    AskGrant {
+    RequestGrant {
         /// Whose budget.
         caller: CallerId,
         /// How much.
@@ -300,7 +300,7 @@
             | Self::Forward { request, .. }
             | Self::Refuse { request, .. }
             | Self::Cancel { request, .. } => Some(*request),
-            Self::AskGrant { .. } => None,
+            Self::RequestGrant { .. } => None,
         }
     }
 }
--- a/src/decision/away.rs
+++ b/src/decision/forwarding.rs
@@ -9,7 +9,7 @@
     RegionLink,
     policy::{
         Policy,
-        share, //
+        fraction, //
     }, //
 };
 use crate::types::{
@@ -25,37 +25,37 @@
 
 /// Recent requests for a target and those sent away, both fading.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Flow {
+pub struct ForwardHistory {
     requests: f64,
-    away: f64,
-    at_ms: Millis,
+    forwarded: f64,
+    updated_ms: Millis,
     /// Whether the last request was better off in another region.
-    pub is_away: bool,
+    pub prefers_remote: bool,
 }
 
-impl Flow {
+impl ForwardHistory {
     /// Counts a request of a caller.
     pub fn note_request(&mut self, now_ms: Millis, policy: &Policy) {
-        self.fade(now_ms, policy);
+        self.decay(now_ms, policy);
         self.requests += 1.0;
     }
 
     /// Counts a request that was sent away.
-    pub fn note_away(&mut self) {
-        self.away += 1.0;
+    pub fn note_forward(&mut self) {
+        self.forwarded += 1.0;
     }
 
     /// Whether one more request may be sent away under a cap.
-    pub fn has_room(&self, cap_permille: u16) -> bool {
-        self.away + 1.0 <= self.requests * share(cap_permille) + ROUNDING
+    pub fn allows_forward(&self, cap_permille: u16) -> bool {
+        self.forwarded + 1.0 <= self.requests * fraction(cap_permille) + ROUNDING
     }
 
-    fn fade(&mut self, now_ms: Millis, policy: &Policy) {
-        let elapsed = (now_ms - self.at_ms).0 as f64;
+    fn decay(&mut self, now_ms: Millis, policy: &Policy) {
+        let elapsed = (now_ms - self.updated_ms).0 as f64;
         let factor = (-elapsed / policy.away_half_life_ms.0.max(1) as f64).exp2();
         self.requests *= factor;
-        self.away *= factor;
-        self.at_ms = now_ms;
+        self.forwarded *= factor;
+        self.updated_ms = now_ms;
     }
 }
 
@@ -82,14 +82,14 @@
     /// `hosts` share the link.
     pub fn send_ms(&self, now_ms: Millis, body: Bytes, hosts: usize, policy: &Policy) -> f64 {
         let backlog_ms = (self.busy_until_ms - now_ms.0 as f64).max(0.0);
-        let rate = self.link.rate.0 as f64 * share(policy.link_permille) / hosts.max(1) as f64;
+        let rate = self.link.rate.0 as f64 * fraction(policy.link_permille) / hosts.max(1) as f64;
         // A Mbit/s is a thousand bits in a millisecond.
         let own_ms = body.0 as f64 * 8.0 / (rate * 1_000.0).max(f64::MIN_POSITIVE);
         backlog_ms + own_ms
     }
 
     /// Notes that a request was sent.
-    pub fn start(
+    pub fn note_sent(
         &mut self,
         now_ms: Millis,
         target: &Target,
@@ -104,18 +104,18 @@
     }
 
     /// Notes that a request has ended.
-    pub fn end(&mut self, target: &Target, request: RequestId) {
+    pub fn note_ended(&mut self, target: &Target, request: RequestId) {
         if let Some(in_flight) = self.in_flight.get_mut(target) {
             in_flight.remove(&request);
         }
     }
 
-    /// Requests in progress that a summary heard at `heard_ms` cannot show.
-    pub fn unseen(&self, target: &Target, heard_ms: Millis) -> usize {
+    /// Requests in progress that a summary heard at `received_ms` cannot show.
+    pub fn unreported(&self, target: &Target, received_ms: Millis) -> usize {
         let round_trip_ms = Millis(self.link.latency_ms.0 * 2);
         let in_flight = self.in_flight.get(target);
         let sent = in_flight.into_iter().flat_map(|sent| sent.values());
-        sent.filter(|sent_ms| **sent_ms + round_trip_ms >= heard_ms)
+        sent.filter(|sent_ms| **sent_ms + round_trip_ms >= received_ms)
             .count()
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,21 +6,21 @@
 //! same actions. The threads around it only carry events in and actions out.
 
 pub mod admission;
-mod arrive;
-pub mod away;
+mod arrival;
+mod attempt_end;
 pub mod budget;
 pub mod context;
-pub mod endpoint;
+mod dispatch;
+pub mod endpoint_choice;
+pub mod endpoint_state;
 pub mod entry;
 pub mod event;
-mod finish;
-pub mod load;
-mod place;
+pub mod forwarding;
 pub mod policy;
 pub mod predict;
 pub mod prefix;
 pub mod ramp;
-pub mod region;
+pub mod region_choice;
 mod request;
 pub mod residency;
 pub mod retry;
@@ -58,7 +58,7 @@
     },
     policy::Policy,
     predict::Predictor,
-    region::Regions,
+    region_choice::RegionChooser,
     request::OpenRequest,
     residency::AllowedRegions,
     retry::RetryBudget,
@@ -112,7 +112,7 @@
 
 /// What this host knows and only events change.
 #[derive(Debug)]
-struct Known {
+struct Inputs {
     region: RegionId,
     policy: Policy,
     view: View,
@@ -120,7 +120,7 @@
     intents: Option<Arc<Intents>>,
 }
 
-impl Known {
+impl Inputs {
     fn context(&self, now_ms: Millis) -> Context<'_> {
         Context {
             now_ms,
@@ -154,8 +154,8 @@
 #[derive(Debug)]
 pub struct Gateway {
     config: GatewayConfig,
-    known: Known,
-    regions: Regions,
+    inputs: Inputs,
+    region_chooser: RegionChooser,
     budget: Budget,
     retries: RetryBudget,
     queue: WaitQueue,
@@ -163,7 +163,7 @@
     /// When to look at a request again; entries may be out of date.
     timers: BTreeSet<(Millis, RequestId)>,
     /// Requests that wait for a grant, by caller, oldest first.
-    granting: BTreeMap<CallerId, Vec<RequestId>>,
+    awaiting_grant: BTreeMap<CallerId, Vec<RequestId>>,
     waste: Waste,
     is_leaving: bool,
     /// Counts choices of a region, for the baseline that takes turns.
@@ -179,9 +179,9 @@
         let policy = Policy::default();
         Self {
             rng: Pcg64Mcg::seed_from_u64(config.seed),
-            regions: Regions::new(config.links.clone()),
+            region_chooser: RegionChooser::new(config.links.clone()),
             retries: RetryBudget::new(&policy),
-            known: Known {
+            inputs: Inputs {
                 region: config.region.clone(),
                 policy,
                 view: View::new(),
@@ -193,7 +193,7 @@
             queue: WaitQueue::new(),
             open: BTreeMap::new(),
             timers: BTreeSet::new(),
-            granting: BTreeMap::new(),
+            awaiting_grant: BTreeMap::new(),
             waste: Waste::default(),
             is_leaving: false,
             region_turn: 0,
@@ -204,7 +204,7 @@
     /// The same host with other parameters.
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.retries = RetryBudget::new(&policy);
-        self.known.policy = policy;
+        self.inputs.policy = policy;
         self
     }
 
@@ -215,17 +215,17 @@
 
     /// Its parameters.
     pub fn policy(&self) -> &Policy {
-        &self.known.policy
+        &self.inputs.policy
     }
 
     /// What this host knows of the others.
     pub fn view(&self) -> &View {
-        &self.known.view
+        &self.inputs.view
     }
 
     /// The configuration in force here.
     pub fn intents(&self) -> Option<&Arc<Intents>> {
-        self.known.intents.as_ref()
+        self.inputs.intents.as_ref()
     }
 
     /// Requests in progress at this host, waiting ones included.
@@ -252,89 +252,90 @@
     ///
     /// This host is part of it if its own heartbeats are fed to it as events.
     pub fn region_summary(&self, now_ms: Millis) -> Option<RegionSummary> {
-        let intents = self.known.intents.as_ref()?;
-        let context = self.known.context(now_ms);
+        let intents = self.inputs.intents.as_ref()?;
+        let context = self.inputs.context(now_ms);
         Some(region_summary(&context, intents))
     }
 
     /// Entry hosts for a caller, or `None` if no intent names it.
     pub fn entry_list(&self, now_ms: Millis, caller: &CallerId) -> Option<EntryList> {
-        let intents = self.known.intents.as_ref()?;
+        let intents = self.inputs.intents.as_ref()?;
         let intent = intents.caller(caller)?;
         let allowed = AllowedRegions::new(intent);
-        let policy = &self.known.policy;
-        let hosts = known_hosts(&self.known.view, now_ms, &self.known.region, policy);
+        let policy = &self.inputs.policy;
+        let hosts = known_hosts(&self.inputs.view, now_ms, &self.inputs.region, policy);
         Some(entry_hosts(caller, &intent.home, &allowed, &hosts, policy))
     }
 
     /// Takes one event and appends what has to be done.
     pub fn handle(&mut self, now_ms: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrived(now_ms, arrival, actions),
-            Event::FirstToken { request, attempt } => self.first_token(request, attempt),
+            Event::Arrived(arrival) => self.on_arrival(now_ms, arrival, actions),
+            Event::FirstToken { request, attempt } => self.on_first_token(request, attempt),
             Event::Ended {
                 request,
                 attempt,
                 outcome,
-            } => self.ended(now_ms, request, attempt, &outcome, actions),
-            Event::Heartbeat(heartbeat) => self.known.view.apply_heartbeat(now_ms, heartbeat),
-            Event::Report(report) => self.reported(now_ms, report, actions),
-            Event::Summary(summary) => self.summed_up(now_ms, summary),
+            } => self.on_ended(now_ms, request, attempt, &outcome, actions),
+            Event::Heartbeat(heartbeat) => self.inputs.view.apply_heartbeat(now_ms, heartbeat),
+            Event::Report(report) => self.on_report(now_ms, report, actions),
+            Event::Summary(summary) => self.on_summary(now_ms, summary),
             Event::Listed { endpoints, hosts } => {
-                self.known.view.apply_list(now_ms, endpoints, &hosts);
-                self.release_all(now_ms, actions);
+                self.inputs.view.apply_list(now_ms, endpoints, &hosts);
+                self.dispatch_all_queued(now_ms, actions);
             }
-            Event::InForce(intents) => self.in_force(intents),
+            Event::InForce(intents) => self.on_in_force(intents),
             Event::Granted {
                 caller,
                 period_start_ms,
                 amount_micros,
             } => {
                 self.budget.granted(&caller, period_start_ms, amount_micros);
-                self.fund_waiting(now_ms, &caller, actions);
+                self.retry_awaiting_grant(now_ms, &caller, actions);
             }
             Event::GrantRefused {
                 caller,
                 period_start_ms,
             } => {
                 self.budget.refused(&caller, period_start_ms);
-                self.fund_waiting(now_ms, &caller, actions);
+                self.retry_awaiting_grant(now_ms, &caller, actions);
             }
             Event::GrantUnavailable { caller } => {
                 self.budget.unavailable(&caller);
-                self.fund_waiting(now_ms, &caller, actions);
+                self.retry_awaiting_grant(now_ms, &caller, actions);
             }
             Event::Leaving => self.is_leaving = true,
-            Event::Tick => self.tick(now_ms, actions),
+            Event::Tick => self.on_tick(now_ms, actions),
         }
     }
 
-    fn in_force(&mut self, intents: Arc<Intents>) {
-        let known = self.known.intents.as_ref().map(|known| known.revision);
+    fn on_in_force(&mut self, intents: Arc<Intents>) {
+        let known = self.inputs.intents.as_ref().map(|known| known.revision);
         if known.is_none_or(|known| known < intents.revision) {
-            self.known.intents = Some(intents);
+            self.inputs.intents = Some(intents);
             self.budget.budgets_changed();
         }
     }
 
-    fn reported(&mut self, now_ms: Millis, report: EndpointReport, actions: &mut Vec<Action>) {
+    fn on_report(&mut self, now_ms: Millis, report: EndpointReport, actions: &mut Vec<Action>) {
         let id = report.endpoint.clone();
-        self.known.view.apply_report(report);
-        let state = self.known.view.endpoints.get(&id);
+        self.inputs.view.apply_report(report);
+        let state = self.inputs.view.endpoints.get(&id);
         if let Some(target) = state.map(|state| state.info.target.clone()) {
-            self.release(now_ms, &target, actions);
+            self.dispatch_queued(now_ms, &target, actions);
         }
     }
 
-    fn summed_up(&mut self, now_ms: Millis, summary: RegionSummary) {
-        let is_other = summary.region != self.known.region;
+    fn on_summary(&mut self, now_ms: Millis, summary: RegionSummary) {
+        let is_other = summary.region != self.inputs.region;
         let copy = summary.clone();
-        if self.known.view.apply_summary(now_ms, summary) && is_other {
-            self.regions.note_summary(now_ms, &copy, &self.known.policy);
+        if self.inputs.view.apply_summary(now_ms, summary) && is_other {
+            self.region_chooser
+                .note_summary(now_ms, &copy, &self.inputs.policy);
         }
     }
 
-    fn first_token(&mut self, request: RequestId, attempt: Attempt) {
+    fn on_first_token(&mut self, request: RequestId, attempt: Attempt) {
         let open = self.open.get_mut(&request);
         if let Some(open) = open.filter(|open| open.attempt == attempt) {
             open.has_first_token = true;
--- a/src/decision/policy.rs
+++ b/src/decision/policy.rs
@@ -300,6 +300,6 @@
 }
 
 /// `permille` as a factor.
-pub(super) fn share(permille: u16) -> f64 {
+pub(super) fn fraction(permille: u16) -> f64 {
     f64::from(permille) / 1_000.0
 }
--- a/src/decision/predict.rs
+++ b/src/decision/predict.rs
@@ -9,7 +9,7 @@
 
 use super::policy::{
     Policy,
-    share, //
+    fraction, //
 };
 use crate::types::{
     Millis,
@@ -51,7 +51,7 @@
 
 /// Averages of the attempts of one target.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Learned {
+struct Averages {
     output: f64,
     run_ms: f64,
 }
@@ -59,7 +59,7 @@
 /// Predicts run times from the policy's constants and past attempts.
 #[derive(Debug, Default)]
 pub struct Predictor {
-    learned: BTreeMap<Target, Learned>,
+    averages: BTreeMap<Target, Averages>,
 }
 
 impl Predictor {
@@ -71,16 +71,16 @@
     /// Takes over a complete attempt with its duration, including its wait at
     /// the endpoint.
     pub fn learn(&mut self, policy: &Policy, target: &Target, output: Tokens, run_ms: Millis) {
-        let weight = share(policy.learn_permille);
-        let mut known = self.known(policy, target);
-        known.output += weight * (output.0 as f64 - known.output);
-        known.run_ms += weight * (run_ms.0 as f64 - known.run_ms);
-        self.learned.insert(target.clone(), known);
+        let weight = fraction(policy.learn_permille);
+        let mut averages = self.averages(policy, target);
+        averages.output += weight * (output.0 as f64 - averages.output);
+        averages.run_ms += weight * (run_ms.0 as f64 - averages.run_ms);
+        self.averages.insert(target.clone(), averages);
     }
 
     /// Run time of a typical request of `target`, in milliseconds.
     pub fn typical_run_ms(&self, policy: &Policy, target: &Target) -> f64 {
-        self.known(policy, target).run_ms.max(1.0)
+        self.averages(policy, target).run_ms.max(1.0)
     }
 
     /// Predicts a run at an endpoint that holds `load` requests in `slots`.
@@ -102,7 +102,7 @@
             Target::Model(_) => Prediction {
                 wait_ms,
                 prefill_ms: prefill_ms(policy, work.prompt),
-                decode_ms: self.output(policy, target, work.max_output)
+                decode_ms: self.expected_output(policy, target, work.max_output)
                     * token_ms(policy, (load + 1.0).min(slots)),
             },
         }
@@ -116,14 +116,14 @@
         beyond / slots.max(1.0) * self.typical_run_ms(policy, target)
     }
 
-    fn output(&self, policy: &Policy, target: &Target, max_output: Tokens) -> f64 {
-        let expected = self.known(policy, target).output;
+    fn expected_output(&self, policy: &Policy, target: &Target, max_output: Tokens) -> f64 {
+        let expected = self.averages(policy, target).output;
         expected.min(max_output.0 as f64)
     }
 
-    fn known(&self, policy: &Policy, target: &Target) -> Learned {
-        let known = self.learned.get(target).copied();
-        known.unwrap_or_else(|| initial(policy, target))
+    fn averages(&self, policy: &Policy, target: &Target) -> Averages {
+        let averages = self.averages.get(target).copied();
+        averages.unwrap_or_else(|| initial_averages(policy, target))
     }
 }
 
@@ -138,16 +138,16 @@
     micros / 1_000.0
 }
 
-fn initial(policy: &Policy, target: &Target) -> Learned {
+fn initial_averages(policy: &Policy, target: &Target) -> Averages {
     match target {
-        Target::Service(_) => Learned {
+        Target::Service(_) => Averages {
             output: 0.0,
             run_ms: policy.service_call_ms.0 as f64,
         },
         Target::Model(_) => {
             let output = policy.output.0 as f64;
             let batch = f64::from(policy.default_slots) / 2.0;
-            Learned {
+            Averages {
                 output,
                 run_ms: output * token_ms(policy, batch),
             }
@@ -156,6 +156,6 @@
 }
 
 /// A predicted time as a whole number of milliseconds, rounded up.
-pub fn whole_ms(ms: f64) -> Millis {
+pub fn ceil_ms(ms: f64) -> Millis {
     Millis(ms.max(0.0).ceil() as u64)
 }
--- a/src/decision/ramp.rs
+++ b/src/decision/ramp.rs
@@ -8,7 +8,7 @@
 
 use super::policy::{
     Policy,
-    share, //
+    fraction, //
 };
 use crate::types::{
     Millis,
@@ -19,15 +19,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Capacity {
     slots: u32,
-    seen_ms: Millis,
-    returned: Option<Returned>,
+    updated_ms: Millis,
+    recovery: Option<Recovery>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Returned {
-    at_ms: Millis,
+struct Recovery {
+    started_ms: Millis,
     /// Share of the slots that were there all along.
-    warm: f64,
+    warm_fraction: f64,
 }
 
 /// When the capacity of each region and target has returned.
@@ -62,14 +62,14 @@
         for (target, slots) in slots {
             known.entry(target.clone()).or_insert(Capacity {
                 slots: *slots,
-                seen_ms: now_ms,
-                returned: None,
+                updated_ms: now_ms,
+                recovery: None,
             });
         }
     }
 
     /// Share of the slots of a region that may be used now, up to 1.
-    pub fn factor(
+    pub fn usable_fraction(
         &self,
         now_ms: Millis,
         region: &RegionId,
@@ -78,31 +78,31 @@
     ) -> f64 {
         let targets = self.capacities.get(region);
         let capacity = targets.and_then(|targets| targets.get(target));
-        let Some(returned) = capacity.and_then(|capacity| capacity.returned) else {
+        let Some(recovery) = capacity.and_then(|capacity| capacity.recovery) else {
             return 1.0;
         };
-        let elapsed = (now_ms - returned.at_ms).0 as f64;
-        let done = elapsed / policy.ramp_ms.0.max(1) as f64;
-        let start = share(policy.ramp_start_permille).max(returned.warm);
-        (start + (1.0 - start) * done).min(1.0)
+        let elapsed = (now_ms - recovery.started_ms).0 as f64;
+        let progress = elapsed / policy.ramp_ms.0.max(1) as f64;
+        let start = fraction(policy.ramp_start_permille).max(recovery.warm_fraction);
+        (start + (1.0 - start) * progress).min(1.0)
     }
 }
 
 impl Capacity {
     fn observe(&mut self, now_ms: Millis, slots: u32, max_gap_ms: Option<Millis>) {
-        let gap_ms = now_ms - self.seen_ms;
+        let gap_ms = now_ms - self.updated_ms;
         let warm_slots = match max_gap_ms {
             Some(max_gap_ms) if gap_ms >= max_gap_ms => 0,
             _ => self.slots,
         };
         // Less than a doubling is ordinary scaling, which needs no ramp.
         if slots > 0 && warm_slots <= slots / 2 {
-            self.returned = Some(Returned {
-                at_ms: now_ms,
-                warm: f64::from(warm_slots) / f64::from(slots),
+            self.recovery = Some(Recovery {
+                started_ms: now_ms,
+                warm_fraction: f64::from(warm_slots) / f64::from(slots),
             });
         }
         self.slots = slots;
-        self.seen_ms = now_ms;
+        self.updated_ms = now_ms;
     }
 }
--- a/src/decision/region.rs
+++ b/src/decision/region_choice.rs
@@ -1,7 +1,7 @@
 //! Home or another region.
 //!
-//! A request stays home unless another region will probably finish it earlier
-//! by a margin, or home cannot finish it in time. Three things keep regions from
+//! A request stays local unless another region will probably finish it earlier
+//! by a margin, or local cannot finish it in time. Three things keep regions from
 //! swinging together: the margin is lower for staying with a choice than for
 //! changing it, a cap bounds the share of recent requests sent away, and the
 //! hosts of a region use only a part of another region's free slots between two
@@ -16,16 +16,16 @@
 
 use super::{
     RegionLink,
-    away::{
-        Flow,
+    context::Context,
+    forwarding::{
+        ForwardHistory,
         LinkState,
         Links, //
     },
-    context::Context,
     policy::{
         Policy,
         Routing,
-        share, //
+        fraction, //
     },
     predict::Work,
     ramp::Ramps,
@@ -45,7 +45,7 @@
 
 /// A request for which a region is chosen.
 #[derive(Debug, Clone, Copy)]
-pub struct Trip<'a> {
+pub struct RegionQuery<'a> {
     /// What it is for.
     pub target: &'a Target,
     /// Size of the work; nothing of it is cached elsewhere.
@@ -55,18 +55,18 @@
     /// Regions that may see it.
     pub allowed: &'a AllowedRegions,
     /// Time left until its deadline.
-    pub left_ms: Millis,
+    pub remaining_ms: Millis,
 }
 
-/// What home can do for a request.
+/// What local can do for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HomeOutlook {
+pub struct LocalEstimate {
     /// Predicted completion, or `None` without an endpoint.
     pub finish_ms: Option<f64>,
     /// Requests in progress for each slot, as estimated.
-    pub ratio: f64,
+    pub load_per_slot: f64,
     /// The same as the newest reports show it.
-    pub reported_ratio: f64,
+    pub reported_load_per_slot: f64,
     /// Slots of all endpoints.
     pub slots: f64,
     /// Slots of a typical endpoint.
@@ -75,31 +75,31 @@
 
 /// Another region that could take a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Remote {
+pub struct RemoteRegion {
     /// The region.
     pub region: RegionId,
     /// Predicted time until the whole answer is back here.
     pub finish_ms: f64,
     /// Requests in progress for each slot.
-    pub ratio: f64,
+    pub load_per_slot: f64,
     /// Its slots.
     pub slots: f64,
     /// Requests that this host may send there until the next summary.
-    pub room: f64,
-    /// The same while home cannot serve them in time. A region that has
+    pub quota: f64,
+    /// The same while local cannot serve them in time. A region that has
     /// returned is then not spared, since it can refuse what is too much.
-    pub forced_room: f64,
+    pub forced_quota: f64,
 }
 
 /// State of the choice between regions.
 #[derive(Debug)]
-pub struct Regions {
+pub struct RegionChooser {
     links: Links,
-    flows: BTreeMap<Target, Flow>,
+    histories: BTreeMap<Target, ForwardHistory>,
     ramps: Ramps,
 }
 
-impl Regions {
+impl RegionChooser {
     /// A choice that has sent nothing away.
     pub fn new(links: Vec<RegionLink>) -> Self {
         let links = links
@@ -107,15 +107,15 @@
             .map(|link| (link.region.clone(), LinkState::new(link)));
         Self {
             links: links.collect(),
-            flows: BTreeMap::new(),
+            histories: BTreeMap::new(),
             ramps: Ramps::new(),
         }
     }
 
     /// Counts a request of a caller.
     pub fn note_request(&mut self, now_ms: Millis, target: &Target, policy: &Policy) {
-        let flow = self.flows.entry(target.clone()).or_default();
-        flow.note_request(now_ms, policy);
+        let history = self.histories.entry(target.clone()).or_default();
+        history.note_request(now_ms, policy);
     }
 
     /// Notes the capacity that another region reports.
@@ -130,26 +130,31 @@
     }
 
     /// Notes the capacity of this region.
-    pub fn note_home(&mut self, now_ms: Millis, region: &RegionId, slots: &BTreeMap<Target, u32>) {
+    pub fn note_local_capacity(
+        &mut self,
+        now_ms: Millis,
+        region: &RegionId,
+        slots: &BTreeMap<Target, u32>,
+    ) {
         self.ramps.observe(now_ms, region, slots, None);
     }
 
     /// Notes that a request was sent to another region.
-    pub fn start(
+    pub fn note_sent(
         &mut self,
         context: &Context<'_>,
         region: &RegionId,
         request: RequestId,
-        trip: &Trip<'_>,
+        query: &RegionQuery<'_>,
     ) {
-        let flow = self.flows.entry(trip.target.clone()).or_default();
-        flow.note_away();
+        let history = self.histories.entry(query.target.clone()).or_default();
+        history.note_forward();
         if let Some(state) = self.links.get_mut(region) {
-            state.start(
+            state.note_sent(
                 context.now_ms,
-                trip.target,
+                query.target,
                 request,
-                trip.body,
+                query.body,
                 context.host_count(),
                 context.policy,
             );
@@ -157,33 +162,33 @@
     }
 
     /// Notes that a request sent to another region has ended.
-    pub fn end(&mut self, region: &RegionId, target: &Target, request: RequestId) {
+    pub fn note_ended(&mut self, region: &RegionId, target: &Target, request: RequestId) {
         if let Some(state) = self.links.get_mut(region) {
-            state.end(target, request);
+            state.note_ended(target, request);
         }
     }
 
-    /// Chooses a host of another region, or `None` to stay home.
+    /// Chooses a host of another region, or `None` to stay local.
     ///
     /// `turn` counts the choices for `RoundRobin`.
     pub fn choose<R>(
         &mut self,
         context: &Context<'_>,
-        trip: &Trip<'_>,
-        home: HomeOutlook,
+        query: &RegionQuery<'_>,
+        local: LocalEstimate,
         turn: usize,
         rng: &mut R,
     ) -> Option<(RegionId, ForwardHost)>
     where
         R: Rng,
     {
-        let remotes = self.remotes(context, trip, home);
+        let remotes = self.remotes(context, query, local);
         let region = match context.policy.routing {
             Routing::HomeOnly => None,
-            Routing::Adaptive => self.adaptive(context, trip, home, &remotes, rng),
-            Routing::Random => random(home, &remotes, rng),
-            Routing::RoundRobin => in_turn(home, &remotes, turn),
-            Routing::LeastReported => least_reported(home, &remotes),
+            Routing::Adaptive => self.adaptive(context, query, local, &remotes, rng),
+            Routing::Random => random(local, &remotes, rng),
+            Routing::RoundRobin => in_turn(local, &remotes, turn),
+            Routing::LeastReported => least_reported(local, &remotes),
         }?;
         let hosts = context.forward_hosts(&region);
         let host = hosts.get(rng.random_range(0..hosts.len().max(1)))?;
@@ -193,74 +198,82 @@
     fn adaptive<R>(
         &mut self,
         context: &Context<'_>,
-        trip: &Trip<'_>,
-        home: HomeOutlook,
-        remotes: &[Remote],
+        query: &RegionQuery<'_>,
+        local: LocalEstimate,
+        remotes: &[RemoteRegion],
         rng: &mut R,
     ) -> Option<RegionId>
     where
         R: Rng,
     {
-        let left_ms = trip.left_ms.0 as f64;
-        let is_home_late = home.finish_ms.is_none_or(|finish_ms| finish_ms > left_ms);
-        let room = |remote: &Remote| match is_home_late {
-            true => remote.forced_room,
-            false => remote.room,
+        let remaining_ms = query.remaining_ms.0 as f64;
+        let is_local_late = local
+            .finish_ms
+            .is_none_or(|finish_ms| finish_ms > remaining_ms);
+        let quota = |remote: &RemoteRegion| match is_local_late {
+            true => remote.forced_quota,
+            false => remote.quota,
         };
         // A fraction of a request is allowed as often as it says.
         let draw = rng.random::<f64>();
         let best = remotes
             .iter()
-            .filter(|remote| remote.finish_ms <= left_ms && room(remote) > draw)
+            .filter(|remote| remote.finish_ms <= remaining_ms && quota(remote) > draw)
             .min_by(|a, b| a.finish_ms.total_cmp(&b.finish_ms));
-        let is_better = best.is_some_and(|best| self.is_better(context, trip, home, best));
-        let flow = self.flows.entry(trip.target.clone()).or_default();
-        flow.is_away = is_better;
+        let is_better = best.is_some_and(|best| self.is_better(context, query, local, best));
+        let history = self.histories.entry(query.target.clone()).or_default();
+        history.prefers_remote = is_better;
         best.filter(|_| is_better).map(|best| best.region.clone())
     }
 
     fn is_better(
         &self,
         context: &Context<'_>,
-        trip: &Trip<'_>,
-        home: HomeOutlook,
-        best: &Remote,
+        query: &RegionQuery<'_>,
+        local: LocalEstimate,
+        best: &RemoteRegion,
     ) -> bool {
         let policy = context.policy;
-        let flow = self.flows.get(trip.target).copied().unwrap_or_default();
-        let ramp = self.factor(context, context.region, trip.target);
-        let left_ms = trip.left_ms.0 as f64;
-        let is_home_late = home.finish_ms.is_none_or(|finish_ms| finish_ms > left_ms);
-        let is_pressed = is_home_late || (ramp < 1.0 && home.ratio >= ramp);
-        if is_pressed {
-            return flow.has_room(policy.away_forced_cap_permille);
+        let history = self
+            .histories
+            .get(query.target)
+            .copied()
+            .unwrap_or_default();
+        let ramp = self.usable_fraction(context, context.region, query.target);
+        let remaining_ms = query.remaining_ms.0 as f64;
+        let is_local_late = local
+            .finish_ms
+            .is_none_or(|finish_ms| finish_ms > remaining_ms);
+        let is_forced = is_local_late || (ramp < 1.0 && local.load_per_slot >= ramp);
+        if is_forced {
+            return history.allows_forward(policy.away_forced_cap_permille);
         }
-        let margin_ms = match flow.is_away {
+        let margin_ms = match history.prefers_remote {
             true => policy.away_stay_ms,
             false => policy.away_margin_ms,
         };
-        let gain_ms = home.finish_ms.unwrap_or(f64::INFINITY) - best.finish_ms;
-        gain_ms >= margin_ms.0 as f64 && flow.has_room(policy.away_cap_permille)
+        let gain_ms = local.finish_ms.unwrap_or(f64::INFINITY) - best.finish_ms;
+        gain_ms >= margin_ms.0 as f64 && history.allows_forward(policy.away_cap_permille)
     }
 
-    fn factor(&self, context: &Context<'_>, region: &RegionId, target: &Target) -> f64 {
+    fn usable_fraction(&self, context: &Context<'_>, region: &RegionId, target: &Target) -> f64 {
         self.ramps
-            .factor(context.now_ms, region, target, context.policy)
+            .usable_fraction(context.now_ms, region, target, context.policy)
     }
 
     /// Other regions that could take a request.
     pub fn remotes(
         &self,
         context: &Context<'_>,
-        trip: &Trip<'_>,
-        home: HomeOutlook,
-    ) -> Vec<Remote> {
-        let regions = trip.allowed.iter().filter(|region| {
+        query: &RegionQuery<'_>,
+        local: LocalEstimate,
+    ) -> Vec<RemoteRegion> {
+        let regions = query.allowed.iter().filter(|region| {
             let is_other = *region != context.region;
             is_other && !context.forward_hosts(region).is_empty()
         });
         regions
-            .filter_map(|region| self.remote(context, region, trip, home))
+            .filter_map(|region| self.remote(context, region, query, local))
             .collect()
     }
 
@@ -268,43 +281,43 @@
         &self,
         context: &Context<'_>,
         region: &RegionId,
-        trip: &Trip<'_>,
-        home: HomeOutlook,
-    ) -> Option<Remote> {
+        query: &RegionQuery<'_>,
+        local: LocalEstimate,
+    ) -> Option<RemoteRegion> {
         let policy = context.policy;
         let state = context.view.summaries.get(region)?;
         let mut capacity = state.summary.capacity.iter();
-        let capacity = capacity.find(|one| one.target == *trip.target && one.slots > 0)?;
+        let capacity = capacity.find(|one| one.target == *query.target && one.slots > 0)?;
         let link = self.links.get(region)?;
         let hosts = context.host_count() as f64;
-        let unseen = link.unseen(trip.target, state.heard_ms) as f64;
+        let unreported = link.unreported(query.target, state.received_ms) as f64;
         let slots = f64::from(capacity.slots);
         let busy = f64::from(capacity.busy);
-        let free = (slots - busy).max(0.0) * share(policy.away_free_permille) / hosts;
-        let load = busy + unseen * hosts;
-        Some(Remote {
+        let free = (slots - busy).max(0.0) * fraction(policy.away_free_permille) / hosts;
+        let load = busy + unreported * hosts;
+        Some(RemoteRegion {
             region: region.clone(),
-            finish_ms: trip_ms(context, link, trip)
-                + run_ms(context, trip, load, slots, home.endpoint_slots),
-            ratio: busy / slots,
+            finish_ms: network_ms(context, link, query)
+                + run_ms(context, query, load, slots, local.endpoint_slots),
+            load_per_slot: busy / slots,
             slots,
-            room: free * self.factor(context, region, trip.target) - unseen,
-            forced_room: free - unseen,
+            quota: free * self.usable_fraction(context, region, query.target) - unreported,
+            forced_quota: free - unreported,
         })
     }
 }
 
 /// Time on the wide-area network, both ways.
-fn trip_ms(context: &Context<'_>, link: &LinkState, trip: &Trip<'_>) -> f64 {
+fn network_ms(context: &Context<'_>, link: &LinkState, query: &RegionQuery<'_>) -> f64 {
     let latency_ms = link.link.latency_ms.0 as f64 * 2.0;
     let hosts = context.host_count();
-    latency_ms + link.send_ms(context.now_ms, trip.body, hosts, context.policy)
+    latency_ms + link.send_ms(context.now_ms, query.body, hosts, context.policy)
 }
 
-/// Time at a region whose endpoints are as large as those at home.
+/// Time at a region whose endpoints are as large as those at local.
 fn run_ms(
     context: &Context<'_>,
-    trip: &Trip<'_>,
+    query: &RegionQuery<'_>,
     load: f64,
     slots: f64,
     endpoint_slots: f64,
@@ -313,20 +326,20 @@
     let predictor = context.predictor;
     let one = predictor.predict(
         context.policy,
-        trip.target,
-        trip.work,
+        query.target,
+        query.work,
         load * scale,
         endpoint_slots,
     );
     one.finish_ms()
 }
 
-fn random<R>(home: HomeOutlook, remotes: &[Remote], rng: &mut R) -> Option<RegionId>
+fn random<R>(local: LocalEstimate, remotes: &[RemoteRegion], rng: &mut R) -> Option<RegionId>
 where
     R: Rng,
 {
-    let total = home.slots + remotes.iter().map(|remote| remote.slots).sum::<f64>();
-    let mut left = rng.random::<f64>() * total - home.slots;
+    let total = local.slots + remotes.iter().map(|remote| remote.slots).sum::<f64>();
+    let mut left = rng.random::<f64>() * total - local.slots;
     if left < 0.0 {
         return None;
     }
@@ -339,15 +352,17 @@
     None
 }
 
-fn in_turn(home: HomeOutlook, remotes: &[Remote], turn: usize) -> Option<RegionId> {
-    let home_turns = usize::from(home.slots > 0.0);
-    let index = turn % (remotes.len() + home_turns).max(1);
-    let remote = remotes.get(index.checked_sub(home_turns)?)?;
+fn in_turn(local: LocalEstimate, remotes: &[RemoteRegion], turn: usize) -> Option<RegionId> {
+    let local_turns = usize::from(local.slots > 0.0);
+    let index = turn % (remotes.len() + local_turns).max(1);
+    let remote = remotes.get(index.checked_sub(local_turns)?)?;
     Some(remote.region.clone())
 }
 
-fn least_reported(home: HomeOutlook, remotes: &[Remote]) -> Option<RegionId> {
-    let least = remotes.iter().min_by(|a, b| a.ratio.total_cmp(&b.ratio))?;
-    let is_less = home.slots <= 0.0 || least.ratio < home.reported_ratio;
+fn least_reported(local: LocalEstimate, remotes: &[RemoteRegion]) -> Option<RegionId> {
+    let least = remotes
+        .iter()
+        .min_by(|a, b| a.load_per_slot.total_cmp(&b.load_per_slot))?;
+    let is_less = local.slots <= 0.0 || least.load_per_slot < local.reported_load_per_slot;
     is_less.then(|| least.region.clone())
 }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -5,7 +5,7 @@
         Price,
         Reservation, //
     },
-    endpoint::Demand,
+    endpoint_choice::EndpointQuery,
     event::{
         Arrival,
         AttemptOutcome,
@@ -13,7 +13,7 @@
     },
     policy::Policy,
     predict::Work,
-    region::Trip,
+    region_choice::RegionQuery,
     residency::AllowedRegions, //
 };
 use crate::types::{
@@ -32,17 +32,17 @@
 
 /// Where a request is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Place {
+pub(super) enum Phase {
     /// It waits for a spending share.
-    Granting { since_ms: Millis },
+    AwaitingGrant { since_ms: Millis },
     /// It waits for an endpoint.
     Queued,
     /// It waits before its next attempt.
     Delayed { until_ms: Millis },
     /// Its attempt runs at an endpoint of this region.
-    Endpoint(EndpointId),
+    AtEndpoint(EndpointId),
     /// Its attempt runs at a host of another region.
-    Away { region: RegionId, host: HostId },
+    Forwarded { region: RegionId, host: HostId },
 }
 
 /// A request with everything decided about it so far.
@@ -57,11 +57,11 @@
     /// Number of the current or next attempt.
     pub attempt: Attempt,
     /// Where it is.
-    pub place: Place,
+    pub phase: Phase,
     /// Endpoints that have failed it.
     pub tried: Vec<EndpointId>,
     /// Whether it has been in another region.
-    pub has_left: bool,
+    pub was_forwarded: bool,
     /// Money set aside; none for a request paid for by another host.
     pub reservation: Option<Reservation>,
     /// When its attempt was sent.
@@ -80,9 +80,9 @@
             allowed,
             price,
             attempt: Attempt(0),
-            place: Place::Granting { since_ms: now_ms },
+            phase: Phase::AwaitingGrant { since_ms: now_ms },
             tried: Vec::new(),
-            has_left: false,
+            was_forwarded: false,
             reservation: None,
             sent_ms: now_ms,
             has_first_token: false,
@@ -92,11 +92,11 @@
 
     /// Whether an attempt of it runs.
     pub fn is_running(&self) -> bool {
-        matches!(self.place, Place::Endpoint(_) | Place::Away { .. })
+        matches!(self.phase, Phase::AtEndpoint(_) | Phase::Forwarded { .. })
     }
 
     /// Whether this host's caller sent it, so that this host pays for it.
-    pub fn is_own(&self) -> bool {
+    pub fn is_from_caller(&self) -> bool {
         self.arrival.origin == Origin::Caller
     }
 
@@ -105,12 +105,12 @@
     /// A forwarded request is final here. One that must not be repeated is
     /// final at the owner of its ticket. One that has been in another region
     /// goes to no second one, whatever became of it there.
-    pub fn may_leave(&self) -> bool {
-        self.is_own() && self.arrival.is_repeatable && !self.has_left
+    pub fn may_forward(&self) -> bool {
+        self.is_from_caller() && self.arrival.is_repeatable && !self.was_forwarded
     }
 
     /// Time left until its deadline.
-    pub fn left_ms(&self, now_ms: Millis) -> Millis {
+    pub fn remaining_ms(&self, now_ms: Millis) -> Millis {
         self.arrival.deadline_ms - now_ms
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// The most that one attempt can cost.
-    pub fn most_cost(&self) -> CostMicros {
+    pub fn max_cost(&self) -> CostMicros {
         let arrival = &self.arrival;
         self.price.cost(arrival.prompt, arrival.max_output)
     }
@@ -136,10 +136,10 @@
                 self.price.cost(prompt - *cached, *output)
             }
             AttemptOutcome::NotSent | AttemptOutcome::Rejected { .. } => CostMicros(0),
-            AttemptOutcome::Interrupted { delivered } | AttemptOutcome::Broken { delivered } => {
+            AttemptOutcome::Interrupted { delivered } | AttemptOutcome::Truncated { delivered } => {
                 self.price.cost(prompt, *delivered)
             }
-            AttemptOutcome::CallerGone { wasted } => self.price.cost(prompt, *wasted),
+            AttemptOutcome::CallerDisconnected { wasted } => self.price.cost(prompt, *wasted),
             AttemptOutcome::Failed { status } => self.failure_cost(*status),
         }
     }
@@ -153,20 +153,20 @@
     }
 
     /// What it asks of an endpoint.
-    pub fn demand<'a>(
+    pub fn endpoint_query<'a>(
         &'a self,
         now_ms: Millis,
         version: Option<&'a str>,
         policy: &Policy,
-    ) -> Demand<'a> {
-        Demand {
+    ) -> EndpointQuery<'a> {
+        EndpointQuery {
             target: &self.arrival.target,
             version,
             work: self.work(),
             prefix_hashes: &self.arrival.prefix_hashes,
             needs_continuation: self.arrival.needs_continuation,
             tried: &self.tried,
-            may_wait: self.may_wait(now_ms, policy),
+            may_wait_for_cache: self.may_wait_for_cache(now_ms, policy),
         }
     }
 
@@ -174,21 +174,21 @@
     ///
     /// A first attempt has been sent nowhere since it arrived. A caller whose
     /// answer broke, or whose deadline is near, should not wait again.
-    fn may_wait(&self, now_ms: Millis, policy: &Policy) -> bool {
+    fn may_wait_for_cache(&self, now_ms: Millis, policy: &Policy) -> bool {
         let limit_ms = policy.affinity_wait_ms;
-        let has_time = self.left_ms(now_ms) > limit_ms + limit_ms;
+        let has_time = self.remaining_ms(now_ms) > limit_ms + limit_ms;
         let is_first = self.attempt == Attempt(0) && !self.arrival.needs_continuation;
         is_first && now_ms - self.sent_ms < limit_ms && has_time
     }
 
     /// What it asks of another region.
-    pub fn trip(&self, now_ms: Millis) -> Trip<'_> {
-        Trip {
+    pub fn region_query(&self, now_ms: Millis) -> RegionQuery<'_> {
+        RegionQuery {
             target: &self.arrival.target,
             work: self.work(),
             body: self.arrival.body,
             allowed: &self.allowed,
-            left_ms: self.left_ms(now_ms),
+            remaining_ms: self.remaining_ms(now_ms),
         }
     }
 }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -18,7 +18,7 @@
 };
 
 /// Parts of a retry that make one.
-const PARTS: u64 = 1_000;
+const PARTS_PER_RETRY: u64 = 1_000;
 
 /// Retries that may still be made.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// The budget of a new host.
     pub fn new(policy: &Policy) -> Self {
         Self {
-            parts: most_parts(policy),
+            parts: max_parts(policy),
             spent: 0,
         }
     }
@@ -44,22 +44,22 @@
     /// Adds what one request earns.
     pub fn earn(&mut self, policy: &Policy) {
         let earned = self.parts + u64::from(policy.retry_permille);
-        self.parts = earned.min(most_parts(policy));
+        self.parts = earned.min(max_parts(policy));
     }
 
     /// Takes one retry, unless the budget is used up.
     pub fn spend(&mut self) -> bool {
-        if self.parts < PARTS {
+        if self.parts < PARTS_PER_RETRY {
             return false;
         }
-        self.parts -= PARTS;
+        self.parts -= PARTS_PER_RETRY;
         self.spent += 1;
         true
     }
 }
 
-fn most_parts(policy: &Policy) -> u64 {
-    u64::from(policy.retry_burst) * PARTS
+fn max_parts(policy: &Policy) -> u64 {
+    u64::from(policy.retry_burst) * PARTS_PER_RETRY
 }
 
 /// Whether a request with this outcome may be sent again without running twice.
@@ -68,9 +68,9 @@
         AttemptOutcome::NotSent | AttemptOutcome::Rejected { .. } => true,
         AttemptOutcome::Interrupted { .. } => is_repeatable,
         AttemptOutcome::Complete { .. }
-        | AttemptOutcome::Broken { .. }
+        | AttemptOutcome::Truncated { .. }
         | AttemptOutcome::Failed { .. }
-        | AttemptOutcome::CallerGone { .. } => false,
+        | AttemptOutcome::CallerDisconnected { .. } => false,
     }
 }
 
--- a/src/decision/summary.rs
+++ b/src/decision/summary.rs
@@ -4,7 +4,7 @@
 
 use super::{
     context::Context,
-    endpoint::prior_ratio,
+    endpoint_choice::mean_load_per_slot,
     view::{
         EndpointState,
         ForwardHost,
@@ -63,7 +63,7 @@
 fn busy(context: &Context<'_>, states: &[&EndpointState]) -> u32 {
     let (now_ms, policy) = (context.now_ms, context.policy);
     let hosts = context.host_count();
-    let prior = prior_ratio(states, now_ms, policy);
+    let prior = mean_load_per_slot(states, now_ms, policy);
     let loads = states.iter().map(|state| {
         let slots = f64::from(state.info.slots);
         state.load(now_ms, prior * slots, hosts, policy)
--- a/src/decision/tick.rs
+++ b/src/decision/tick.rs
@@ -7,7 +7,7 @@
         Refusal,
         RefusalReason, //
     },
-    request::Place, //
+    request::Phase, //
 };
 use crate::types::{
     Millis,
@@ -17,23 +17,24 @@
 
 /// Part of the predicted wait that a queued request may count on not having.
 /// A request is given up only if even a queue twice as fast would be too late.
-const WAIT_TOLERANCE: f64 = 0.5;
+const WAIT_FACTOR: f64 = 0.5;
 
 impl Gateway {
-    pub(super) fn tick(&mut self, now_ms: Millis, actions: &mut Vec<Action>) {
-        self.known.view.refresh(now_ms, &self.known.policy);
-        let slots = self.known.view.slots(&self.known.region);
-        self.regions.note_home(now_ms, &self.known.region, &slots);
-        for request in self.take_due(now_ms) {
-            self.wake(now_ms, request, actions);
+    pub(super) fn on_tick(&mut self, now_ms: Millis, actions: &mut Vec<Action>) {
+        self.inputs.view.refresh(now_ms, &self.inputs.policy);
+        let slots = self.inputs.view.slots(&self.inputs.region);
+        self.region_chooser
+            .note_local_capacity(now_ms, &self.inputs.region, &slots);
+        for request in self.take_due_timers(now_ms) {
+            self.handle_timer(now_ms, request, actions);
         }
         for target in self.queue.targets() {
             self.refuse_late(now_ms, &target, actions);
-            self.release(now_ms, &target, actions);
+            self.dispatch_queued(now_ms, &target, actions);
         }
     }
 
-    fn take_due(&mut self, now_ms: Millis) -> Vec<RequestId> {
+    fn take_due_timers(&mut self, now_ms: Millis) -> Vec<RequestId> {
         let later = self
             .timers
             .split_off(&(now_ms + Millis(1), RequestId::default()));
@@ -41,30 +42,30 @@
         due.into_iter().map(|(_, request)| request).collect()
     }
 
-    fn wake(&mut self, now_ms: Millis, request: RequestId, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now_ms: Millis, request: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&request) else {
             return;
         };
-        let policy = &self.known.policy;
+        let policy = &self.inputs.policy;
         if let Some(answered_ms) = open.answered_ms {
             if answered_ms + policy.cancel_wait_ms <= now_ms {
-                self.write_off(now_ms, request);
+                self.abandon_cancelled(now_ms, request);
             }
             return;
         }
         if open.arrival.deadline_ms <= now_ms {
             return self.expire(now_ms, request, actions);
         }
-        match open.place {
-            Place::Delayed { until_ms } if until_ms <= now_ms => {
+        match open.phase {
+            Phase::Delayed { until_ms } if until_ms <= now_ms => {
                 if let Some(open) = self.open.remove(&request) {
-                    self.start(now_ms, request, open, actions);
+                    self.start_attempt(now_ms, request, open, actions);
                 }
             }
-            Place::Granting { since_ms } if since_ms + policy.grant_wait_ms <= now_ms => {
+            Phase::AwaitingGrant { since_ms } if since_ms + policy.grant_wait_ms <= now_ms => {
                 let caller = open.arrival.caller.clone();
                 self.budget.unavailable(&caller);
-                self.fund_waiting(now_ms, &caller, actions);
+                self.retry_awaiting_grant(now_ms, &caller, actions);
             }
             _ => {}
         }
@@ -90,7 +91,7 @@
         }
         open.answered_ms = Some(now_ms);
         let attempt = open.attempt;
-        let until_ms = now_ms + self.known.policy.cancel_wait_ms;
+        let until_ms = now_ms + self.inputs.policy.cancel_wait_ms;
         self.timers.insert((until_ms, request));
         actions.push(Action::Cancel { request, attempt });
         actions.push(Action::Refuse { request, refusal });
@@ -98,9 +99,9 @@
 
     /// Refuses queued requests that cannot finish by their deadline any more.
     fn refuse_late(&mut self, now_ms: Millis, target: &Target, actions: &mut Vec<Action>) {
-        let slots = self.known.view.slots(&self.known.region);
+        let slots = self.inputs.view.slots(&self.inputs.region);
         let slots = slots.get(target).copied().unwrap_or(0);
-        let context = self.known.context(now_ms);
+        let context = self.inputs.context(now_ms);
         let typical_ms = context.predictor.typical_run_ms(context.policy, target);
         let each_ms = typical_ms * context.host_count() as f64 / f64::from(slots.max(1));
         let slots = f64::from(slots.max(1));
@@ -113,14 +114,14 @@
             let run = context
                 .predictor
                 .predict(context.policy, target, open.work(), 0.0, slots);
-            let wait_ms = (ahead + 1.0) * each_ms * WAIT_TOLERANCE;
-            if wait_ms + run.run_ms() > open.left_ms(now_ms).0 as f64 {
+            let wait_ms = (ahead + 1.0) * each_ms * WAIT_FACTOR;
+            if wait_ms + run.run_ms() > open.remaining_ms(now_ms).0 as f64 {
                 late.push(request);
             } else {
                 ahead += 1.0;
             }
         }
-        let refusal = self.later(RefusalReason::Overloaded);
+        let refusal = self.retryable_refusal(RefusalReason::Overloaded);
         for request in late {
             if let Some(open) = self.take_waiting(request) {
                 self.refuse(request, open, refusal, actions);
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -18,10 +18,10 @@
     Serialize, //
 };
 
-pub use super::load::EndpointState;
+pub use super::endpoint_state::EndpointState;
 use super::policy::{
     Policy,
-    share, //
+    fraction, //
 };
 use crate::{
     ticket::token::HostRun,
@@ -100,7 +100,7 @@
     pub open_requests: u32,
     /// Runs whose tickets it decides; its own one is among them until it has
     /// handed them over.
-    pub held_runs: Vec<HostRun>,
+    pub ticket_runs: Vec<HostRun>,
 }
 
 /// Load that an endpoint reports.
@@ -168,14 +168,14 @@
     /// Newest heartbeat.
     pub heartbeat: Heartbeat,
     /// When it arrived here.
-    pub heard_ms: Millis,
+    pub received_ms: Millis,
     /// When its current run was first heard.
     pub run_since_ms: Millis,
     /// Whether it has said in its current run, or the list, that it leaves.
     pub is_leaving: bool,
     /// Whether callers should rather use other hosts.
     pub is_overloaded: bool,
-    past: Vec<Incarnation>,
+    past_incarnations: Vec<Incarnation>,
 }
 
 impl HostState {
@@ -183,10 +183,10 @@
         Self {
             is_leaving: heartbeat.is_leaving,
             heartbeat,
-            heard_ms: now_ms,
+            received_ms: now_ms,
             run_since_ms: now_ms,
             is_overloaded: false,
-            past: Vec::new(),
+            past_incarnations: Vec::new(),
         }
     }
 
@@ -197,13 +197,13 @@
 
     /// Whether it has been heard lately.
     pub fn is_live(&self, now_ms: Millis, policy: &Policy) -> bool {
-        now_ms - self.heard_ms < policy.host_live_ms
+        now_ms - self.received_ms < policy.host_live_ms
     }
 
     fn apply(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
         let is_same_run = self.heartbeat.incarnation == heartbeat.incarnation;
         if is_same_run && heartbeat.sequence <= self.heartbeat.sequence
-            || self.past.contains(&heartbeat.incarnation)
+            || self.past_incarnations.contains(&heartbeat.incarnation)
         {
             return;
         }
@@ -213,13 +213,13 @@
         } else {
             self.is_leaving = heartbeat.is_leaving;
             self.run_since_ms = now_ms;
-            self.past.push(self.heartbeat.incarnation);
+            self.past_incarnations.push(self.heartbeat.incarnation);
         }
-        if self.past.len() > PAST_INCARNATIONS {
-            self.past.remove(0);
+        if self.past_incarnations.len() > PAST_INCARNATIONS {
+            self.past_incarnations.remove(0);
         }
         self.heartbeat = heartbeat;
-        self.heard_ms = now_ms;
+        self.received_ms = now_ms;
     }
 }
 
@@ -229,7 +229,7 @@
     /// The summary.
     pub summary: RegionSummary,
     /// When it arrived; its age does not depend on the clock of its source.
-    pub heard_ms: Millis,
+    pub received_ms: Millis,
 }
 
 /// Everything this host knows of the others.
@@ -243,7 +243,7 @@
     pub summaries: BTreeMap<RegionId, SummaryState>,
     by_target: BTreeMap<RegionId, BTreeMap<Target, Vec<EndpointId>>>,
     listed_leaving: BTreeSet<HostId>,
-    avoided: BTreeMap<HostId, Millis>,
+    avoided_until_ms: BTreeMap<HostId, Millis>,
 }
 
 impl View {
@@ -262,7 +262,7 @@
         }
         for info in endpoints {
             match self.endpoints.get_mut(&info.id) {
-                Some(known) => known.relist(info),
+                Some(known) => known.update_info(info),
                 None => {
                     let id = info.id.clone();
                     self.endpoints.insert(id, EndpointState::new(info));
@@ -355,7 +355,7 @@
         let region = summary.region.clone();
         let state = SummaryState {
             summary,
-            heard_ms: now_ms,
+            received_ms: now_ms,
         };
         self.summaries.insert(region, state);
         true
@@ -369,13 +369,13 @@
         policy: &Policy,
     ) -> Option<&RegionSummary> {
         let state = self.summaries.get(region)?;
-        let is_fresh = now_ms - state.heard_ms < policy.summary_max_age_ms;
+        let is_fresh = now_ms - state.received_ms < policy.summary_max_age_ms;
         is_fresh.then_some(&state.summary)
     }
 
     /// Forwards nothing to a host for a while.
     pub fn avoid_host(&mut self, host: HostId, until_ms: Millis) {
-        self.avoided.insert(host, until_ms);
+        self.avoided_until_ms.insert(host, until_ms);
     }
 
     /// Hosts of a region's summary that take forwarded requests now.
@@ -399,7 +399,10 @@
         region: &RegionId,
         policy: &Policy,
     ) -> bool {
-        let is_avoided = self.avoided.get(&host.host).is_some_and(|at| now_ms < *at);
+        let is_avoided = self
+            .avoided_until_ms
+            .get(&host.host)
+            .is_some_and(|at| now_ms < *at);
         if is_avoided || self.listed_leaving.contains(&host.host) {
             return false;
         }
@@ -423,9 +426,9 @@
 
     /// The run that decides the tickets of `run`: itself, or the one that has
     /// announced that it took them over.
-    pub fn holder_of(&self, run: &HostRun) -> HostRun {
+    pub fn ticket_holder(&self, run: &HostRun) -> HostRun {
         let is_successor = |state: &&HostState| {
-            state.heartbeat.host != run.host && state.heartbeat.held_runs.contains(run)
+            state.heartbeat.host != run.host && state.heartbeat.ticket_runs.contains(run)
         };
         match self.hosts.values().find(is_successor) {
             Some(state) => HostRun {
@@ -444,12 +447,14 @@
     /// Forgets what is too old, and finds the overloaded hosts.
     pub fn refresh(&mut self, now_ms: Millis, policy: &Policy) {
         self.hosts
-            .retain(|_, state| now_ms - state.heard_ms < policy.host_forget_ms);
-        self.avoided.retain(|_, until_ms| now_ms < *until_ms);
+            .retain(|_, state| now_ms - state.received_ms < policy.host_forget_ms);
+        self.avoided_until_ms
+            .retain(|_, until_ms| now_ms < *until_ms);
         let endpoints = self.endpoints.len();
         self.endpoints.retain(|_, state| {
-            let gone_ms = state.unlisted_ms.map(|at_ms| now_ms - at_ms);
-            state.in_flight() > 0 || gone_ms.is_none_or(|gone| gone < policy.endpoint_forget_ms)
+            let unlisted_for_ms = state.unlisted_ms.map(|at_ms| now_ms - at_ms);
+            state.in_flight() > 0
+                || unlisted_for_ms.is_none_or(|for_ms| for_ms < policy.endpoint_forget_ms)
         });
         if self.endpoints.len() < endpoints {
             self.index_targets();
@@ -471,7 +476,7 @@
                 true => policy.recover_permille,
                 false => policy.overload_permille,
             };
-            let is_above = f64::from(open) > requests / hosts * share(limit);
+            let is_above = f64::from(open) > requests / hosts * fraction(limit);
             state.is_overloaded = is_above && open >= policy.overload_min_requests;
         }
     }
--- a/src/experiment/world.rs
+++ b/src/experiment/world.rs
@@ -494,7 +494,7 @@
             } => self.forward((host, request, attempt), &to, allowed),
             Action::Refuse { request, refusal } => self.refuse(host, request, refusal),
             Action::Cancel { request, attempt } => self.cancel((host, request, attempt)),
-            Action::AskGrant {
+            Action::RequestGrant {
                 caller,
                 amount_micros,
             } => {
@@ -710,7 +710,7 @@
 
     fn cancel(&mut self, key: AttemptKey) {
         let (host, request, _) = key;
-        let gone = |wasted| AttemptOutcome::CallerGone {
+        let gone = |wasted| AttemptOutcome::CallerDisconnected {
             wasted: Tokens(wasted),
         };
         match self.places.remove(&key) {
@@ -749,7 +749,7 @@
                 Event::Ended {
                     request,
                     attempt: Attempt(0),
-                    outcome: AttemptOutcome::CallerGone { wasted: Tokens(0) },
+                    outcome: AttemptOutcome::CallerDisconnected { wasted: Tokens(0) },
                 },
             ),
         }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -286,8 +286,8 @@
                     _ => Some(Settlement::CallerGone),
                 }
             }
-            AttemptOutcome::CallerGone { .. } => Some(Settlement::CallerGone),
-            AttemptOutcome::Broken { .. } => {
+            AttemptOutcome::CallerDisconnected { .. } => Some(Settlement::CallerGone),
+            AttemptOutcome::Truncated { .. } => {
                 let refusal = Refusal::new(RefusalReason::RetriesExhausted);
                 Some(self.give_up(refusal))
             }
@@ -331,13 +331,13 @@
         let delivered = self.stream.tokens;
         let can_resume = matches!(&self.payload, Payload::Chat(chat) if chat.is_resumable);
         if self.stream.is_started && !can_resume {
-            return AttemptOutcome::Broken { delivered };
+            return AttemptOutcome::Truncated { delivered };
         }
         AttemptOutcome::Interrupted { delivered }
     }
 
     fn caller_gone(&self) -> AttemptOutcome {
-        AttemptOutcome::CallerGone {
+        AttemptOutcome::CallerDisconnected {
             wasted: self.stream.tokens,
         }
     }
--- a/src/sample.rs
+++ b/src/sample.rs
@@ -136,6 +136,7 @@
         self.retries.count(metrics, Metric::Retries, waste.retries);
         self.wasted
             .count(metrics, Metric::WastedTokens, waste.cancelled.0);
-        self.away.count(metrics, Metric::AwayBytes, waste.away.0);
+        self.away
+            .count(metrics, Metric::AwayBytes, waste.inter_region_bytes.0);
     }
 }
--- a/src/spending.rs
+++ b/src/spending.rs
@@ -57,7 +57,7 @@
 impl AskRing {
     /// Passes on an action that belongs to no request.
     pub fn take(&self, action: Action) {
-        let Action::AskGrant {
+        let Action::RequestGrant {
             caller,
             amount_micros,
         } = action
--- a/src/status.rs
+++ b/src/status.rs
@@ -57,7 +57,7 @@
         region: state.heartbeat.region.clone(),
         revision: state.heartbeat.revision,
         is_leaving: state.is_leaving,
-        heard_ago_ms: now_ms - state.heard_ms,
+        heard_ago_ms: now_ms - state.received_ms,
     });
     Status {
         host: config.host.clone(),
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -237,12 +237,12 @@
         let now_ms = clock::now();
         let owner = ticket.body().owner.run.clone();
         let (holder, sighting) = self.relay.decider.query(move |gateway| {
-            let holder = gateway.view().holder_of(&owner);
+            let holder = gateway.view().ticket_holder(&owner);
             let state = gateway.view().hosts.get(&holder.host);
             let sighting = state.map(|state| Sighting {
                 incarnation: state.heartbeat.incarnation,
                 first_seen_ms: state.run_since_ms,
-                last_heard_ms: state.heard_ms,
+                last_heard_ms: state.received_ms,
                 region: state.heartbeat.region.clone(),
                 peer_address: state.heartbeat.peer_address,
                 is_reachable: state.is_live(now_ms, gateway.policy()),
--- a/tests/decision_accounts.rs
+++ b/tests/decision_accounts.rs
@@ -55,7 +55,7 @@
             budget.charge(now_ms, &mut reservation, amount, &policy);
             budget.release(reservation);
         }
-        if let Some(asked) = budget.take_ask(now_ms, &caller, intent, &policy) {
+        if let Some(asked) = budget.take_grant_request(now_ms, &caller, intent, &policy) {
             budget.granted(&caller, START, asked);
             last = asked;
         }
@@ -83,7 +83,7 @@
     let actions = run(&mut gateway, at(1_000_000), event);
 
     assert!(
-        matches!(actions[..], [Action::AskGrant { .. }]),
+        matches!(actions[..], [Action::RequestGrant { .. }]),
         "{actions:?}"
     );
 }
@@ -97,7 +97,7 @@
         output: Tokens(100),
         cached: Tokens(512),
     };
-    let gone = AttemptOutcome::CallerGone { wasted: Tokens(30) };
+    let gone = AttemptOutcome::CallerDisconnected { wasted: Tokens(30) };
 
     run(&mut gateway, at(0), ask(1));
     run(&mut gateway, at(10), ended(1, 0, cached));
@@ -119,7 +119,7 @@
     let waste = Waste {
         retries: 0,
         cancelled: Tokens(30),
-        away: Bytes(2_048 + 100 * 200),
+        inter_region_bytes: Bytes(2_048 + 100 * 200),
     };
     assert_eq!(gateway.waste(), waste);
 }
--- a/tests/decision_choices.rs
+++ b/tests/decision_choices.rs
@@ -411,14 +411,14 @@
         ramps.observe(at(ms), &region, &slots(count), None);
     }
 
-    let factor = |ms| ramps.factor(at(ms), &region, &target, &policy);
+    let factor = |ms| ramps.usable_fraction(at(ms), &region, &target, &policy);
 
     assert_eq!(factor(2_000), 0.1);
     assert!((factor(32_000) - 0.55).abs() < 0.001);
     assert_eq!(factor(62_000), 1.0);
     ramps.observe(at(70_000), &region, &slots(40), None);
     ramps.observe(at(70_000), &region, &slots(100), None);
-    let factor = ramps.factor(at(70_000), &region, &target, &policy);
+    let factor = ramps.usable_fraction(at(70_000), &region, &target, &policy);
     assert_eq!(factor, 0.4, "the slots that stayed are warm");
 }
 
--- a/tests/decision_fixture/mod.rs
+++ b/tests/decision_fixture/mod.rs
@@ -182,7 +182,7 @@
         is_ready: true,
         revision: Revision(5),
         open_requests,
-        held_runs: Vec::new(),
+        ticket_runs: Vec::new(),
     }
 }
 
@@ -357,7 +357,7 @@
             )
         }
         Action::Cancel { request, attempt } => format!("cancel {:x} attempt {attempt}", request.0),
-        Action::AskGrant {
+        Action::RequestGrant {
             caller,
             amount_micros,
         } => format!("ask {amount_micros} for {caller}"),
--- a/tests/decision_golden.rs
+++ b/tests/decision_golden.rs
@@ -82,7 +82,7 @@
     session.step(30, "arrive 4 priority", ask(4, Tier::Priority, 30_000));
     session.step(40, "arrive 5 due in 4 s", ask(5, Tier::Default, 4_040));
     session.step(50, "arrive 6 priority", ask(6, Tier::Priority, 30_000));
-    let gone = AttemptOutcome::CallerGone { wasted: Tokens(0) };
+    let gone = AttemptOutcome::CallerDisconnected { wasted: Tokens(0) };
     session.step(60, "caller of 6 gone", ended(6, 0, gone));
     session.step(2_000, "complete 1", ended(1, 0, complete()));
     session.step(4_000, "complete 4", ended(4, 0, complete()));
--- a/tests/decision_properties.rs
+++ b/tests/decision_properties.rs
@@ -245,7 +245,7 @@
                 let known = self.cancelled_ms.insert(*request, self.now_ms);
                 assert_eq!(known, None, "cancelled twice");
             }
-            Action::AskGrant { amount_micros, .. } => assert!(*amount_micros > CostMicros(0)),
+            Action::RequestGrant { amount_micros, .. } => assert!(*amount_micros > CostMicros(0)),
         }
     }
 
@@ -370,7 +370,7 @@
                 delivered: Tokens(3),
             },
             3 => AttemptOutcome::Failed { status: 500 },
-            4 => AttemptOutcome::CallerGone { wasted: Tokens(9) },
+            4 => AttemptOutcome::CallerDisconnected { wasted: Tokens(9) },
             5 => AttemptOutcome::Rejected {
                 retry_after_ms: None,
                 is_leaving: true,
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -93,7 +93,7 @@
         is_ready: true,
         revision: Revision(5),
         open_requests: 0,
-        held_runs: Vec::new(),
+        ticket_runs: Vec::new(),
     }
 }
 
