--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -46,19 +46,19 @@
     rendezvous_rank,
     store::{
         HostRecord,
-        Known,
+        IdLookup,
         Store, //
     },
     wire::{
-        Beat,
-        Body,
+        CompactHeartbeat,
+        DatagramBody,
         ClusterKey,
         Datagram,
-        Item,
-        Load,
+        FullRecord,
+        CompactReport,
         MAX_DATAGRAM_BYTES,
         Opener,
-        RegionBeat,
+        CompactSummary,
         Sealer,
         ShortId,
         TICK_MS,
@@ -321,16 +321,16 @@
 /// Collects a body up to a size.
 #[derive(Debug)]
 struct BodyBuilder {
-    body: Body,
+    body: DatagramBody,
     room_bytes: usize,
 }
 
 impl BodyBuilder {
     fn new(room_bytes: usize, revision: Revision) -> Self {
         Self {
-            body: Body {
+            body: DatagramBody {
                 revision,
-                ..Body::default()
+                ..DatagramBody::default()
             },
             room_bytes: room_bytes.saturating_sub(BODY_PREFIX_BYTES),
         }
@@ -350,34 +350,34 @@
         fits
     }
 
-    fn push_item(&mut self, item: Item) -> bool {
+    fn push_full_record(&mut self, item: FullRecord) -> bool {
         let fits = self.reserve(&item);
         if fits {
-            self.body.items.push(item);
+            self.body.full_records.push(item);
         }
         fits
     }
 
-    fn push_beat(&mut self, beat: Beat) -> bool {
+    fn push_heartbeat(&mut self, beat: CompactHeartbeat) -> bool {
         let fits = self.reserve(&beat);
         if fits {
-            self.body.beats.push(beat);
+            self.body.heartbeats.push(beat);
         }
         fits
     }
 
-    fn push_region(&mut self, beat: RegionBeat) -> bool {
+    fn push_summary(&mut self, beat: CompactSummary) -> bool {
         let fits = self.reserve(&beat);
         if fits {
-            self.body.regions.push(beat);
+            self.body.summaries.push(beat);
         }
         fits
     }
 
-    fn push_load(&mut self, load: Load) -> bool {
+    fn push_report(&mut self, load: CompactReport) -> bool {
         let fits = self.reserve(&load);
         if fits {
-            self.body.loads.push(load);
+            self.body.reports.push(load);
         }
         fits
     }
@@ -518,7 +518,7 @@
         let is_new_sender = self.needs_greeting(now_ms, &sender);
         let missing = self.apply(now_ms, &datagram, events);
         self.note_revisions(now_ms, &datagram, events);
-        self.answer_wanted(now_ms, from, &datagram.body.wanted, out);
+        self.answer_wanted(now_ms, from, &datagram.body.requested_ids, out);
         self.ask_missing(now_ms, from, missing, out);
         if is_new_sender && self.budget.allows_reply() {
             self.greet(now_ms, from, &sender, out);
@@ -546,7 +546,7 @@
             return;
         }
         self.store.forget_old(now_ms);
-        self.beat_own(now_ms);
+        self.refresh_own_heartbeat(now_ms);
         if self.budget.has_credit() {
             self.send_round(now_ms, out);
         } else {
@@ -600,42 +600,42 @@
         datagram: &Datagram,
         events: &mut Vec<GossipEvent>,
     ) -> Vec<ShortId> {
-        for item in &datagram.body.items {
-            self.apply_item(now_ms, item, events);
+        for item in &datagram.body.full_records {
+            self.apply_full_record(now_ms, item, events);
         }
         let sent_ms = datagram.header.sent_ms;
         let mut missing = BTreeSet::new();
-        for beat in &datagram.body.beats {
+        for beat in &datagram.body.heartbeats {
             if self.is_own_id(beat.id) {
                 continue;
             }
-            let sequence = ticks_before(sent_ms, beat.behind_ticks).0;
-            let behind = beat.behind_revisions.saturating_neg();
+            let sequence = ticks_before(sent_ms, beat.age_ticks).0;
+            let behind = beat.revision_lag.saturating_neg();
             let revision = Revision(datagram.body.revision.0.saturating_add_signed(behind));
             let known = self
                 .store
-                .apply_beat(now_ms, beat, sequence, revision, events);
-            if known == Known::No {
+                .apply_compact_heartbeat(now_ms, beat, sequence, revision, events);
+            if known == IdLookup::NotFound {
                 missing.insert(beat.id);
             }
         }
-        for load in &datagram.body.loads {
-            let measured_ms = ticks_before(sent_ms, load.behind_ticks);
-            if self.store.apply_load(now_ms, load, measured_ms, events) == Known::No {
+        for load in &datagram.body.reports {
+            let measured_ms = ticks_before(sent_ms, load.age_ticks);
+            if self.store.apply_compact_report(now_ms, load, measured_ms, events) == IdLookup::NotFound {
                 missing.insert(load.id);
             }
         }
-        for beat in &datagram.body.regions {
-            let made_ms = ticks_before(sent_ms, beat.behind_ticks);
-            let behind = beat.behind_revisions.saturating_neg();
+        for beat in &datagram.body.summaries {
+            let made_ms = ticks_before(sent_ms, beat.age_ticks);
+            let behind = beat.revision_lag.saturating_neg();
             let lowest = Revision(datagram.body.revision.0.saturating_add_signed(behind));
             if self.is_own_region_id(beat.id) {
                 continue;
             }
             let known = self
                 .store
-                .apply_region_beat(now_ms, beat, made_ms, lowest, events);
-            if known == Known::No {
+                .apply_compact_summary(now_ms, beat, made_ms, lowest, events);
+            if known == IdLookup::NotFound {
                 missing.insert(beat.id);
             }
         }
@@ -652,10 +652,10 @@
         own.is_some_and(|own| own.id == id)
     }
 
-    fn apply_item(&mut self, now_ms: Millis, item: &Item, events: &mut Vec<GossipEvent>) {
+    fn apply_full_record(&mut self, now_ms: Millis, item: &FullRecord, events: &mut Vec<GossipEvent>) {
         match item {
-            Item::Heartbeat(heartbeat) if heartbeat.host == self.config.host => {}
-            Item::Heartbeat(heartbeat) => {
+            FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host => {}
+            FullRecord::Heartbeat(heartbeat) => {
                 let is_new = self
                     .store
                     .apply_heartbeat(now_ms, heartbeat.clone(), events);
@@ -666,9 +666,9 @@
                     self.schedule_now_if(now_ms, true);
                 }
             }
-            Item::Report(report) => self.apply_report(now_ms, report, events),
-            Item::Summary(summary) if summary.region == self.config.region => {}
-            Item::Summary(summary) => self.store.apply_summary(now_ms, summary.clone(), events),
+            FullRecord::Report(report) => self.apply_report(now_ms, report, events),
+            FullRecord::Summary(summary) if summary.region == self.config.region => {}
+            FullRecord::Summary(summary) => self.store.apply_summary(now_ms, summary.clone(), events),
         }
     }
 
@@ -711,11 +711,11 @@
             revision: datagram.body.revision,
         });
         let mut sources: Vec<RevisionSource> = direct.into_iter().collect();
-        let full = datagram.body.items.iter().filter_map(|item| match item {
-            Item::Summary(summary) => self.store.summaries.get(&summary.region),
-            Item::Heartbeat(_) | Item::Report(_) => None,
+        let full = datagram.body.full_records.iter().filter_map(|item| match item {
+            FullRecord::Summary(summary) => self.store.summaries.get(&summary.region),
+            FullRecord::Heartbeat(_) | FullRecord::Report(_) => None,
         });
-        let beats = datagram.body.regions.iter();
+        let beats = datagram.body.summaries.iter();
         let short = beats.filter_map(|beat| self.store.region_by_id(beat.id));
         for record in full.chain(short) {
             let summary = &record.summary;
@@ -758,31 +758,31 @@
         wanted: &[ShortId],
         out: &mut Vec<Outgoing>,
     ) {
-        self.beat_own(now_ms);
+        self.refresh_own_heartbeat(now_ms);
         let mut builder = self.builder(now_ms);
         for id in wanted.iter().take(MAX_WANTED) {
-            let Some(item) = self.item_by_id(*id) else {
+            let Some(item) = self.full_record_by_id(*id) else {
                 continue;
             };
-            if builder.push_item(item.clone()) {
+            if builder.push_full_record(item.clone()) {
                 continue;
             }
             let full = std::mem::replace(&mut builder, self.builder(now_ms));
             self.reply(now_ms, to, full.body, out);
-            builder.push_item(item);
+            builder.push_full_record(item);
         }
-        if !builder.body.items.is_empty() {
+        if !builder.body.full_records.is_empty() {
             self.reply(now_ms, to, builder.body, out);
         }
     }
 
-    fn item_by_id(&self, id: ShortId) -> Option<Item> {
+    fn full_record_by_id(&self, id: ShortId) -> Option<FullRecord> {
         let host = self.store.host_by_id(id);
         let endpoint = self.store.endpoint_by_id(id);
         let region = self.store.region_by_id(id);
-        host.map(|record| Item::Heartbeat(record.heartbeat.clone()))
-            .or_else(|| endpoint.map(|record| Item::Report(record.report.clone())))
-            .or_else(|| region.map(|record| Item::Summary(record.summary.clone())))
+        host.map(|record| FullRecord::Heartbeat(record.heartbeat.clone()))
+            .or_else(|| endpoint.map(|record| FullRecord::Report(record.report.clone())))
+            .or_else(|| region.map(|record| FullRecord::Summary(record.summary.clone())))
     }
 
     fn ask_missing(
@@ -798,10 +798,10 @@
         self.next_ask_ms = now_ms + ASK_INTERVAL_MS;
         self.counts.asked += 1;
         let mut builder = self.builder(now_ms);
-        if let Some(own) = self.own_item(now_ms) {
-            builder.push_item(own);
+        if let Some(own) = self.own_full_record(now_ms) {
+            builder.push_full_record(own);
         }
-        builder.body.wanted = missing;
+        builder.body.requested_ids = missing;
         self.reply(now_ms, to, builder.body, out);
     }
 
@@ -810,7 +810,7 @@
         let Some(region) = record.map(|record| record.heartbeat.region.clone()) else {
             return;
         };
-        self.beat_own(now_ms);
+        self.refresh_own_heartbeat(now_ms);
         let body = if region == self.config.region {
             let mut body = self.region_body(now_ms);
             self.prepend_own(now_ms, &mut body);
@@ -830,39 +830,39 @@
         let others = hosts
             .iter()
             .filter(|record| record.heartbeat.peer_address != to)
-            .map(|record| Item::Heartbeat(record.heartbeat.clone()));
-        let named: Vec<Item> = others.collect();
+            .map(|record| FullRecord::Heartbeat(record.heartbeat.clone()));
+        let named: Vec<FullRecord> = others.collect();
         let mut rng = self.rng.clone();
-        body.items
+        body.full_records
             .extend(named.into_iter().sample(&mut rng, SHORT_GREETING_HOSTS));
         self.rng = rng;
         self.send(now_ms, to, body, out);
     }
 
     /// Makes sure that a host that does not know this one can reply to it.
-    fn prepend_own(&mut self, now_ms: Millis, body: &mut Body) {
-        let has_own = body.items.iter().any(
-            |item| matches!(item, Item::Heartbeat(heartbeat) if heartbeat.host == self.config.host),
+    fn prepend_own(&mut self, now_ms: Millis, body: &mut DatagramBody) {
+        let has_own = body.full_records.iter().any(
+            |item| matches!(item, FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host),
         );
-        let Some(own) = self.own_item(now_ms).filter(|_| !has_own) else {
+        let Some(own) = self.own_full_record(now_ms).filter(|_| !has_own) else {
             return;
         };
         // Loads come last and are the least useful part for a newcomer.
         let own_bytes = postcard::to_allocvec(&own).map_or(0, |bytes| bytes.len());
         let dropped = own_bytes.div_ceil(8);
-        body.loads
-            .truncate(body.loads.len().saturating_sub(dropped));
-        body.items.truncate(4);
-        body.items.insert(0, own);
+        body.reports
+            .truncate(body.reports.len().saturating_sub(dropped));
+        body.full_records.truncate(4);
+        body.full_records.insert(0, own);
     }
 
-    fn reply(&mut self, now_ms: Millis, to: SocketAddr, body: Body, out: &mut Vec<Outgoing>) {
+    fn reply(&mut self, now_ms: Millis, to: SocketAddr, body: DatagramBody, out: &mut Vec<Outgoing>) {
         if self.budget.allows_reply() {
             self.send(now_ms, to, body, out);
         }
     }
 
-    fn send(&mut self, now_ms: Millis, to: SocketAddr, body: Body, out: &mut Vec<Outgoing>) {
+    fn send(&mut self, now_ms: Millis, to: SocketAddr, body: DatagramBody, out: &mut Vec<Outgoing>) {
         match self.sealer.seal(now_ms, body) {
             Ok(bytes) => {
                 let cost_bytes = bytes.len() as u64 + UDP_OVERHEAD_BYTES;
@@ -874,7 +874,7 @@
         }
     }
 
-    fn beat_own(&mut self, now_ms: Millis) {
+    fn refresh_own_heartbeat(&mut self, now_ms: Millis) {
         if let Some(own) = self.store.hosts.get_mut(&self.config.host) {
             let beat = tick_floor(now_ms).0;
             if beat > own.beat {
@@ -886,10 +886,10 @@
         }
     }
 
-    fn own_item(&mut self, now_ms: Millis) -> Option<Item> {
-        self.beat_own(now_ms);
+    fn own_full_record(&mut self, now_ms: Millis) -> Option<FullRecord> {
+        self.refresh_own_heartbeat(now_ms);
         let own = self.store.hosts.get(&self.config.host)?;
-        Some(Item::Heartbeat(own.heartbeat.clone()))
+        Some(FullRecord::Heartbeat(own.heartbeat.clone()))
     }
 
     fn region_hosts(&self, now_ms: Millis) -> Vec<&HostRecord> {
@@ -938,7 +938,7 @@
         if !(has_facts || self.is_revision_urgent) || !self.budget.allows_reply() {
             return;
         }
-        self.beat_own(now_ms);
+        self.refresh_own_heartbeat(now_ms);
         let facts: Vec<Fact> = self.urgent.keys().cloned().collect();
         self.urgent.retain(|_, rounds| {
             *rounds -= 1;
@@ -951,11 +951,11 @@
             REVISION_FANOUT
         };
         let mut builder = self.builder(now_ms);
-        if let Some(beat) = self.own_beat(now_ms) {
-            builder.push_beat(beat);
+        if let Some(beat) = self.own_compact_heartbeat(now_ms) {
+            builder.push_heartbeat(beat);
         }
         for fact in &facts {
-            self.add_fact(now_ms, fact, &mut builder);
+            self.add_full_record(now_ms, fact, &mut builder);
         }
         for to in self.region_targets(now_ms, fanout) {
             self.send(now_ms, to, builder.body.clone(), out);
@@ -972,15 +972,15 @@
         BodyBuilder::new(self.sealer.body_room_bytes(now_ms), self.own_revision())
     }
 
-    fn region_body(&mut self, now_ms: Millis) -> Body {
+    fn region_body(&mut self, now_ms: Millis) -> DatagramBody {
         let mut builder = self.builder(now_ms);
         let shortened = MAX_DATAGRAM_BYTES - REGION_DATAGRAM_BYTES;
         builder.room_bytes = builder.room_bytes.saturating_sub(shortened);
-        self.add_facts(now_ms, &mut builder);
-        self.add_beats(now_ms, &mut builder);
+        self.add_full_records(now_ms, &mut builder);
+        self.add_heartbeats(now_ms, &mut builder);
         let reserved = builder.room_bytes * (100 - REGION_ROOM_PERCENT) / 100;
-        self.add_regions(now_ms, None, reserved, &mut builder);
-        self.add_loads(now_ms, &mut builder);
+        self.add_summaries(now_ms, None, reserved, &mut builder);
+        self.add_reports(now_ms, &mut builder);
         builder.body
     }
 
@@ -1010,7 +1010,7 @@
     }
 
     /// Adds changed facts, and the unchanged one that was sent least recently.
-    fn add_facts(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
+    fn add_full_records(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut candidates = self.candidates(now_ms);
         candidates.sort_unstable();
         let reserved = builder.room_bytes * (100 - CHANGED_ROOM_PERCENT) / 100;
@@ -1022,7 +1022,7 @@
             if is_unchanged && now_ms < self.next_refresh_ms {
                 return;
             }
-            self.add_fact(now_ms, &candidate.fact, builder);
+            self.add_full_record(now_ms, &candidate.fact, builder);
             if is_unchanged {
                 self.next_refresh_ms = now_ms + REFRESH_MS;
                 return;
@@ -1030,11 +1030,11 @@
         }
     }
 
-    fn add_fact(&mut self, now_ms: Millis, fact: &Fact, builder: &mut BodyBuilder) {
+    fn add_full_record(&mut self, now_ms: Millis, fact: &Fact, builder: &mut BodyBuilder) {
         match fact {
             Fact::Host(host) => {
                 if let Some(r) = self.store.hosts.get_mut(host)
-                    && builder.push_item(Item::Heartbeat(r.heartbeat.clone()))
+                    && builder.push_full_record(FullRecord::Heartbeat(r.heartbeat.clone()))
                 {
                     r.sends_left = r.sends_left.saturating_sub(1);
                     r.full_sent_ms = now_ms;
@@ -1042,7 +1042,7 @@
             }
             Fact::Endpoint(endpoint) => {
                 if let Some(r) = self.store.endpoints.get_mut(endpoint)
-                    && builder.push_item(Item::Report(r.report.clone()))
+                    && builder.push_full_record(FullRecord::Report(r.report.clone()))
                 {
                     r.sends_left = r.sends_left.saturating_sub(1);
                     r.full_sent_ms = now_ms;
@@ -1050,7 +1050,7 @@
             }
             Fact::Summary(region) => {
                 if let Some(r) = self.store.summaries.get_mut(region)
-                    && builder.push_item(Item::Summary(r.summary.clone()))
+                    && builder.push_full_record(FullRecord::Summary(r.summary.clone()))
                 {
                     r.sends_left = r.sends_left.saturating_sub(1);
                     r.full_sent_ms = now_ms;
@@ -1059,38 +1059,38 @@
         }
     }
 
-    fn beat(&self, now_ms: Millis, record: &HostRecord) -> Beat {
+    fn compact_heartbeat(&self, now_ms: Millis, record: &HostRecord) -> CompactHeartbeat {
         let own = self.own_revision().0;
-        Beat {
+        CompactHeartbeat {
             id: record.id,
-            behind_ticks: ticks_behind(now_ms, Millis(record.beat)),
-            behind_revisions: own.wrapping_sub(record.heartbeat.revision.0) as i64,
+            age_ticks: ticks_behind(now_ms, Millis(record.beat)),
+            revision_lag: own.wrapping_sub(record.heartbeat.revision.0) as i64,
             open_requests: record.heartbeat.open_requests,
         }
     }
 
-    fn own_beat(&self, now_ms: Millis) -> Option<Beat> {
+    fn own_compact_heartbeat(&self, now_ms: Millis) -> Option<CompactHeartbeat> {
         let own = self.store.hosts.get(&self.config.host)?;
-        Some(self.beat(now_ms, own))
+        Some(self.compact_heartbeat(now_ms, own))
     }
 
     /// Adds short heartbeats that were sent least often, newest first.
     ///
     /// Newest first alone would never pass on a host that writes seldom because
     /// it is over its budget.
-    fn add_beats(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
+    fn add_heartbeats(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut records = self.region_hosts(now_ms);
         records.retain(|record| now_ms - record.heard_ms <= BEAT_RELAY_MS);
         records.sort_by_key(|record| {
             let surplus_sends = record.beat_sends.saturating_sub(EXTRA_BEAT_SENDS);
             (surplus_sends, Reverse(record.beat))
         });
-        let beats = records.iter().map(|record| self.beat(now_ms, record));
+        let beats = records.iter().map(|record| self.compact_heartbeat(now_ms, record));
         let hosts = records.iter().map(|record| record.heartbeat.host.clone());
-        let candidates: Vec<(HostId, Beat)> = hosts.zip(beats).collect();
+        let candidates: Vec<(HostId, CompactHeartbeat)> = hosts.zip(beats).collect();
         let reserved = builder.room_bytes * (100 - BEAT_ROOM_PERCENT) / 100;
         for (host, beat) in candidates {
-            if builder.room_bytes <= reserved || !builder.push_beat(beat) {
+            if builder.room_bytes <= reserved || !builder.push_heartbeat(beat) {
                 return;
             }
             if let Some(record) = self.store.hosts.get_mut(&host) {
@@ -1099,21 +1099,21 @@
         }
     }
 
-    fn add_loads(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
+    fn add_reports(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut records: Vec<_> = self.store.endpoints.values_mut().collect();
         records.sort_by_key(|record| {
             let surplus_sends = record.load_sends.saturating_sub(EXTRA_LOAD_SENDS);
             (surplus_sends, Reverse(record.report.measured_ms))
         });
         for record in records {
-            let load = Load {
+            let load = CompactReport {
                 id: record.id,
-                behind_ticks: ticks_behind(now_ms, record.report.measured_ms),
+                age_ticks: ticks_behind(now_ms, record.report.measured_ms),
                 running: record.report.running,
                 waiting: record.report.waiting,
                 cache_permille: record.report.cache_permille,
             };
-            if !builder.push_load(load) {
+            if !builder.push_report(load) {
                 return;
             }
             record.load_sends += 1;
@@ -1159,25 +1159,25 @@
     }
 
     /// This host, and the states of its region and of all others.
-    fn cross_body(&mut self, now_ms: Millis, target: &RegionId) -> Body {
+    fn cross_body(&mut self, now_ms: Millis, target: &RegionId) -> DatagramBody {
         let mut builder = self.cross_builder(now_ms);
-        self.add_regions(now_ms, Some(target), 0, &mut builder);
+        self.add_summaries(now_ms, Some(target), 0, &mut builder);
         builder.body
     }
 
     /// This host and its region in full, for a host that may know neither.
-    fn hello_body(&mut self, now_ms: Millis) -> Body {
+    fn hello_body(&mut self, now_ms: Millis) -> DatagramBody {
         let mut builder = self.cross_builder(now_ms);
         if let Some(own) = self.store.summaries.get(&self.config.region) {
-            builder.push_item(Item::Summary(own.summary.clone()));
+            builder.push_full_record(FullRecord::Summary(own.summary.clone()));
         }
         builder.body
     }
 
     fn cross_builder(&mut self, now_ms: Millis) -> BodyBuilder {
         let mut builder = self.builder(now_ms);
-        if let Some(own) = self.own_item(now_ms) {
-            builder.push_item(own);
+        if let Some(own) = self.own_full_record(now_ms) {
+            builder.push_full_record(own);
         }
         builder
     }
@@ -1185,7 +1185,7 @@
     /// Adds states of regions, least often sent first, down to `reserved` bytes.
     ///
     /// The own region goes only, and first, to other regions.
-    fn add_regions(
+    fn add_summaries(
         &mut self,
         now_ms: Millis,
         target: Option<&RegionId>,
@@ -1207,13 +1207,13 @@
         let own_revision = builder.body.revision.0;
         for record in records {
             let summary = &record.summary;
-            let beat = RegionBeat {
+            let beat = CompactSummary {
                 id: record.id,
-                behind_ticks: ticks_behind(now_ms, summary.made_ms),
-                behind_revisions: own_revision.wrapping_sub(summary.lowest_revision.0) as i64,
+                age_ticks: ticks_behind(now_ms, summary.made_ms),
+                revision_lag: own_revision.wrapping_sub(summary.lowest_revision.0) as i64,
                 busy: summary.capacity.iter().map(|c| c.busy).collect(),
             };
-            if builder.room_bytes <= reserved || !builder.push_region(beat) {
+            if builder.room_bytes <= reserved || !builder.push_summary(beat) {
                 return;
             }
             record.beat_sends += 1;
@@ -1239,7 +1239,7 @@
             .choose(&mut self.rng);
         if let Some((to, id)) = silent {
             let mut body = self.hello_body(now_ms);
-            body.wanted.push(id);
+            body.requested_ids.push(id);
             self.send(now_ms, to, body, out);
         }
     }
--- a/src/peer/store.rs
+++ b/src/peer/store.rs
@@ -16,9 +16,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::wire::{
-    Beat,
-    Load,
-    RegionBeat,
+    CompactHeartbeat,
+    CompactReport,
+    CompactSummary,
     ShortId, //
 };
 use crate::{
@@ -163,7 +163,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Subject {
+enum IdOwner {
     Host(HostId),
     Endpoint(EndpointId),
     Region(RegionId),
@@ -178,16 +178,16 @@
     pub endpoints: BTreeMap<EndpointId, EndpointRecord>,
     /// Regions, including this one.
     pub summaries: BTreeMap<RegionId, SummaryRecord>,
-    subjects: HashMap<ShortId, Subject>,
+    id_owners: HashMap<ShortId, IdOwner>,
 }
 
 /// Whether a short name is known here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum IdLookup {
     /// It is known.
-    Yes,
+    Found,
     /// The full fact is missing.
-    No,
+    NotFound,
 }
 
 impl Store {
@@ -214,7 +214,7 @@
             let old_id = known.id;
             let mut record = HostRecord::new(heartbeat, now_ms);
             record.emitted_sequence = known.emitted_sequence;
-            self.subjects.remove(&old_id);
+            self.id_owners.remove(&old_id);
             self.insert_host(record, now_ms, events);
             return true;
         }
@@ -248,27 +248,27 @@
     ) {
         events.push(record.next_event(now_ms));
         let host = record.heartbeat.host.clone();
-        self.subjects.insert(record.id, Subject::Host(host.clone()));
+        self.id_owners.insert(record.id, IdOwner::Host(host.clone()));
         self.hosts.insert(host, record);
     }
 
     /// Takes over a short heartbeat.
-    pub fn apply_beat(
+    pub fn apply_compact_heartbeat(
         &mut self,
         now_ms: Millis,
-        beat: &Beat,
+        beat: &CompactHeartbeat,
         sequence: u64,
         revision: Revision,
         events: &mut Vec<GossipEvent>,
-    ) -> Known {
-        let Some(Subject::Host(host)) = self.subjects.get(&beat.id) else {
-            return Known::No;
+    ) -> IdLookup {
+        let Some(IdOwner::Host(host)) = self.id_owners.get(&beat.id) else {
+            return IdLookup::NotFound;
         };
         let Some(known) = self.hosts.get_mut(host) else {
-            return Known::No;
+            return IdLookup::NotFound;
         };
         if sequence <= known.beat {
-            return Known::Yes;
+            return IdLookup::Found;
         }
         let is_changed = revision > known.heartbeat.revision;
         known.beat = sequence;
@@ -279,7 +279,7 @@
         if is_changed || now_ms - known.emitted_ms >= BEAT_EVENT_MS {
             events.push(known.next_event(now_ms));
         }
-        Known::Yes
+        IdLookup::Found
     }
 
     /// Takes over a full report; returns true if more than the load is new.
@@ -304,7 +304,7 @@
         };
         let id = endpoint_short_id(&report.endpoint, report.incarnation);
         if let Some(old_id) = known.map(|known| known.id).filter(|old_id| *old_id != id) {
-            self.subjects.remove(&old_id);
+            self.id_owners.remove(&old_id);
         }
         let record = EndpointRecord {
             id,
@@ -315,29 +315,29 @@
             report: report.clone(),
         };
         let endpoint = report.endpoint.clone();
-        self.subjects
-            .insert(id, Subject::Endpoint(endpoint.clone()));
+        self.id_owners
+            .insert(id, IdOwner::Endpoint(endpoint.clone()));
         self.endpoints.insert(endpoint, record);
         events.push(GossipEvent::Report(report));
         is_changed
     }
 
     /// Takes over a load.
-    pub fn apply_load(
+    pub fn apply_compact_report(
         &mut self,
         now_ms: Millis,
-        load: &Load,
+        load: &CompactReport,
         measured_ms: Millis,
         events: &mut Vec<GossipEvent>,
-    ) -> Known {
-        let Some(Subject::Endpoint(endpoint)) = self.subjects.get(&load.id) else {
-            return Known::No;
+    ) -> IdLookup {
+        let Some(IdOwner::Endpoint(endpoint)) = self.id_owners.get(&load.id) else {
+            return IdLookup::NotFound;
         };
         let Some(known) = self.endpoints.get_mut(endpoint) else {
-            return Known::No;
+            return IdLookup::NotFound;
         };
         if measured_ms <= known.report.measured_ms {
-            return Known::Yes;
+            return IdLookup::Found;
         }
         known.report.measured_ms = measured_ms;
         known.report.running = load.running;
@@ -346,7 +346,7 @@
         known.heard_ms = now_ms;
         known.load_sends = 0;
         events.push(GossipEvent::Report(known.report.clone()));
-        Known::Yes
+        IdLookup::Found
     }
 
     /// Takes over a full summary unless a newer one is known.
@@ -371,32 +371,32 @@
             summary: summary.clone(),
         };
         if let Some(old_id) = known.map(|known| known.id) {
-            self.subjects.remove(&old_id);
+            self.id_owners.remove(&old_id);
         }
         let region = summary.region.clone();
-        self.subjects.insert(id, Subject::Region(region.clone()));
+        self.id_owners.insert(id, IdOwner::Region(region.clone()));
         self.summaries.insert(region, record);
         events.push(GossipEvent::Summary(summary));
     }
 
     /// Takes over the state of a region.
-    pub fn apply_region_beat(
+    pub fn apply_compact_summary(
         &mut self,
         now_ms: Millis,
-        beat: &RegionBeat,
+        beat: &CompactSummary,
         made_ms: Millis,
         lowest_revision: Revision,
         events: &mut Vec<GossipEvent>,
-    ) -> Known {
-        let Some(Subject::Region(region)) = self.subjects.get(&beat.id) else {
-            return Known::No;
+    ) -> IdLookup {
+        let Some(IdOwner::Region(region)) = self.id_owners.get(&beat.id) else {
+            return IdLookup::NotFound;
         };
         let Some(known) = self.summaries.get_mut(region) else {
-            return Known::No;
+            return IdLookup::NotFound;
         };
         let summary = &mut known.summary;
         if made_ms <= summary.made_ms || beat.busy.len() != summary.capacity.len() {
-            return Known::Yes;
+            return IdLookup::Found;
         }
         summary.made_ms = made_ms;
         summary.lowest_revision = lowest_revision;
@@ -406,7 +406,7 @@
         known.heard_ms = now_ms;
         known.beat_sends = 0;
         events.push(GossipEvent::Summary(summary.clone()));
-        Known::Yes
+        IdLookup::Found
     }
 
     /// Drops what is too old to be of use.
@@ -419,34 +419,34 @@
             .retain(|_, record| now_ms - record.heard_ms < SUMMARY_KEEP_MS);
         let (hosts, endpoints) = (&self.hosts, &self.endpoints);
         let summaries = &self.summaries;
-        self.subjects.retain(|_, subject| match subject {
-            Subject::Host(host) => hosts.contains_key(host),
-            Subject::Endpoint(endpoint) => endpoints.contains_key(endpoint),
-            Subject::Region(region) => summaries.contains_key(region),
+        self.id_owners.retain(|_, subject| match subject {
+            IdOwner::Host(host) => hosts.contains_key(host),
+            IdOwner::Endpoint(endpoint) => endpoints.contains_key(endpoint),
+            IdOwner::Region(region) => summaries.contains_key(region),
         });
     }
 
     /// The host with this short name.
     pub fn host_by_id(&self, id: ShortId) -> Option<&HostRecord> {
-        match self.subjects.get(&id)? {
-            Subject::Host(host) => self.hosts.get(host),
-            Subject::Endpoint(_) | Subject::Region(_) => None,
+        match self.id_owners.get(&id)? {
+            IdOwner::Host(host) => self.hosts.get(host),
+            IdOwner::Endpoint(_) | IdOwner::Region(_) => None,
         }
     }
 
     /// The endpoint with this short name.
     pub fn endpoint_by_id(&self, id: ShortId) -> Option<&EndpointRecord> {
-        match self.subjects.get(&id)? {
-            Subject::Endpoint(endpoint) => self.endpoints.get(endpoint),
-            Subject::Host(_) | Subject::Region(_) => None,
+        match self.id_owners.get(&id)? {
+            IdOwner::Endpoint(endpoint) => self.endpoints.get(endpoint),
+            IdOwner::Host(_) | IdOwner::Region(_) => None,
         }
     }
 
     /// The region whose description has this short name.
     pub fn region_by_id(&self, id: ShortId) -> Option<&SummaryRecord> {
-        match self.subjects.get(&id)? {
-            Subject::Region(region) => self.summaries.get(region),
-            Subject::Host(_) | Subject::Endpoint(_) => None,
+        match self.id_owners.get(&id)? {
+            IdOwner::Region(region) => self.summaries.get(region),
+            IdOwner::Host(_) | IdOwner::Endpoint(_) => None,
         }
     }
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -173,7 +173,7 @@
 /// A fact that hosts pass on in full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Item {
+pub enum FullRecord {
     /// What a host reports about itself.
     Heartbeat(Heartbeat),
     /// Report of an endpoint.
@@ -210,24 +210,24 @@
 
 /// Newest short heartbeat of a host, without its unchanged description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct CompactHeartbeat {
     /// The host's run.
     pub id: ShortId,
     /// Heartbeat sequence, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
+    pub age_ticks: i64,
     /// Revision in force there, as the distance below the sender's.
-    pub behind_revisions: i64,
+    pub revision_lag: i64,
     /// Requests in progress there.
     pub open_requests: u32,
 }
 
 /// Newest load of an endpoint, without its unchanged description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct CompactReport {
     /// The endpoint's run.
     pub id: ShortId,
     /// When it was measured, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
+    pub age_ticks: i64,
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait in it.
@@ -238,37 +238,37 @@
 
 /// Newest state of a region, without its unchanged description.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegionBeat {
+pub struct CompactSummary {
     /// The region with its targets, slots and hosts.
     pub id: ShortId,
     /// When it was made, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
+    pub age_ticks: i64,
     /// Lowest revision there, as the distance below the sender's own.
-    pub behind_revisions: i64,
+    pub revision_lag: i64,
     /// Requests that its endpoints run or hold, in the order of its targets.
     pub busy: Vec<u32>,
 }
 
 /// What one datagram says.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Body {
+pub struct DatagramBody {
     /// Revision that the sender has in force.
     pub revision: Revision,
     /// Facts in full.
-    pub items: Vec<Item>,
+    pub full_records: Vec<FullRecord>,
     /// Short heartbeats of hosts in the sender's region.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<CompactHeartbeat>,
     /// Loads of endpoints in the sender's region.
-    pub loads: Vec<Load>,
+    pub reports: Vec<CompactReport>,
     /// States of regions.
-    pub regions: Vec<RegionBeat>,
+    pub summaries: Vec<CompactSummary>,
     /// Short names that the sender asks the receiver to spell out.
-    pub wanted: Vec<ShortId>,
+    pub requested_ids: Vec<ShortId>,
 }
 
 /// Who wrote a datagram, and when.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Header {
+pub struct DatagramHeader {
     /// The host.
     pub sender: HostId,
     /// Its current run.
@@ -283,16 +283,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Who wrote it.
-    pub header: Header,
+    pub header: DatagramHeader,
     /// What it says.
-    pub body: Body,
+    pub body: DatagramBody,
 }
 
 /// Writes the datagrams of one run.
 #[derive(Debug)]
 pub struct Sealer {
     key: ClusterKey,
-    header: Header,
+    header: DatagramHeader,
 }
 
 impl Sealer {
@@ -300,7 +300,7 @@
     pub fn new(key: &ClusterKey, sender: HostId, incarnation: Incarnation) -> Self {
         Self {
             key: datagram_key(key),
-            header: Header {
+            header: DatagramHeader {
                 sender,
                 incarnation,
                 sequence: 0,
@@ -311,7 +311,7 @@
 
     /// Room for a body in one datagram.
     pub fn body_room_bytes(&self, now_ms: Millis) -> usize {
-        let next = Header {
+        let next = DatagramHeader {
             sequence: self.header.sequence + 1,
             sent_ms: now_ms,
             ..self.header.clone()
@@ -321,7 +321,7 @@
     }
 
     /// Encodes and tags one datagram.
-    pub fn seal(&mut self, now_ms: Millis, body: Body) -> Result<Vec<u8>, WireError> {
+    pub fn seal(&mut self, now_ms: Millis, body: DatagramBody) -> Result<Vec<u8>, WireError> {
         self.header.sequence += 1;
         self.header.sent_ms = now_ms;
         let datagram = Datagram {
@@ -403,7 +403,7 @@
 }
 
 impl ReplayWindow {
-    fn new(header: &Header, now_ms: Millis) -> Self {
+    fn new(header: &DatagramHeader, now_ms: Millis) -> Self {
         Self {
             incarnation: header.incarnation,
             highest: header.sequence,
--- a/tests/peer_wire.rs
+++ b/tests/peer_wire.rs
@@ -3,8 +3,8 @@
 
 use cardamombridge::{
     peer::wire::{
-        Beat,
-        Body,
+        CompactHeartbeat,
+        DatagramBody,
         ClusterKey,
         MAX_CLOCK_SKEW_MS,
         MAX_DATAGRAM_BYTES,
@@ -40,16 +40,16 @@
     Opener::new(&key(), host("own"))
 }
 
-fn body(beats: usize) -> Body {
-    let beat = Beat {
+fn body(heartbeats: usize) -> DatagramBody {
+    let heartbeat = CompactHeartbeat {
         id: ShortId([1, 2, 3, 4]),
-        behind_ticks: 12,
-        behind_revisions: 0,
+        age_ticks: 12,
+        revision_lag: 0,
         open_requests: 40,
     };
-    Body {
-        beats: vec![beat; beats],
-        ..Body::default()
+    DatagramBody {
+        heartbeats: vec![heartbeat; heartbeats],
+        ..DatagramBody::default()
     }
 }
 
