--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -50,16 +50,16 @@
         Store, //
     },
     wire::{
-        CompactHeartbeat,
-        DatagramBody,
         ClusterKey,
+        CompactHeartbeat,
+        CompactReport,
+        CompactSummary,
         Datagram,
+        DatagramBody,
+        DatagramDecoder,
+        DatagramEncoder,
         FullRecord,
-        CompactReport,
         MAX_DATAGRAM_BYTES,
-        Opener,
-        CompactSummary,
-        Sealer,
         ShortId,
         TICK_MS,
         WireCounts,
@@ -387,8 +387,8 @@
 #[derive(Debug)]
 pub struct Gossip {
     config: GossipConfig,
-    sealer: Sealer,
-    opener: Opener,
+    encoder: DatagramEncoder,
+    decoder: DatagramDecoder,
     store: Store,
     budget: Budget,
     seeds: Vec<SeedState>,
@@ -409,8 +409,8 @@
     /// Knows nobody yet; rounds start once [`Gossip::put_heartbeat`] was called.
     pub fn new(config: GossipConfig, key: &ClusterKey) -> Self {
         Self {
-            sealer: Sealer::new(key, config.host.clone(), config.incarnation),
-            opener: Opener::new(key, config.host.clone()),
+            encoder: DatagramEncoder::new(key, config.host.clone(), config.incarnation),
+            decoder: DatagramDecoder::new(key, config.host.clone()),
             store: Store::new(),
             budget: Budget::new(config.budget_bytes_per_s),
             seeds: config.seeds.iter().copied().map(SeedState::new).collect(),
@@ -431,7 +431,7 @@
     /// Totals so far.
     pub fn counts(&self) -> GossipCounts {
         GossipCounts {
-            wire: self.opener.counts(),
+            wire: self.decoder.counts(),
             ..self.counts
         }
     }
@@ -512,7 +512,7 @@
         let cost_bytes = bytes.len() as u64 + UDP_OVERHEAD_BYTES;
         self.budget.spend(cost_bytes);
         self.counts.received_bytes += cost_bytes;
-        let datagram = self.opener.open(now_ms, bytes)?;
+        let datagram = self.decoder.decode(now_ms, bytes)?;
         self.mark_heard(now_ms, from);
         let sender = datagram.header.sender.clone();
         let is_new_sender = self.needs_greeting(now_ms, &sender);
@@ -621,7 +621,11 @@
         }
         for load in &datagram.body.reports {
             let measured_ms = ticks_before(sent_ms, load.age_ticks);
-            if self.store.apply_compact_report(now_ms, load, measured_ms, events) == IdLookup::NotFound {
+            if self
+                .store
+                .apply_compact_report(now_ms, load, measured_ms, events)
+                == IdLookup::NotFound
+            {
                 missing.insert(load.id);
             }
         }
@@ -652,7 +656,12 @@
         own.is_some_and(|own| own.id == id)
     }
 
-    fn apply_full_record(&mut self, now_ms: Millis, item: &FullRecord, events: &mut Vec<GossipEvent>) {
+    fn apply_full_record(
+        &mut self,
+        now_ms: Millis,
+        item: &FullRecord,
+        events: &mut Vec<GossipEvent>,
+    ) {
         match item {
             FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host => {}
             FullRecord::Heartbeat(heartbeat) => {
@@ -668,7 +677,9 @@
             }
             FullRecord::Report(report) => self.apply_report(now_ms, report, events),
             FullRecord::Summary(summary) if summary.region == self.config.region => {}
-            FullRecord::Summary(summary) => self.store.apply_summary(now_ms, summary.clone(), events),
+            FullRecord::Summary(summary) => {
+                self.store.apply_summary(now_ms, summary.clone(), events)
+            }
         }
     }
 
@@ -711,10 +722,14 @@
             revision: datagram.body.revision,
         });
         let mut sources: Vec<RevisionSource> = direct.into_iter().collect();
-        let full = datagram.body.full_records.iter().filter_map(|item| match item {
-            FullRecord::Summary(summary) => self.store.summaries.get(&summary.region),
-            FullRecord::Heartbeat(_) | FullRecord::Report(_) => None,
-        });
+        let full = datagram
+            .body
+            .full_records
+            .iter()
+            .filter_map(|item| match item {
+                FullRecord::Summary(summary) => self.store.summaries.get(&summary.region),
+                FullRecord::Heartbeat(_) | FullRecord::Report(_) => None,
+            });
         let beats = datagram.body.summaries.iter();
         let short = beats.filter_map(|beat| self.store.region_by_id(beat.id));
         for record in full.chain(short) {
@@ -856,14 +871,26 @@
         body.full_records.insert(0, own);
     }
 
-    fn reply(&mut self, now_ms: Millis, to: SocketAddr, body: DatagramBody, out: &mut Vec<Outgoing>) {
+    fn reply(
+        &mut self,
+        now_ms: Millis,
+        to: SocketAddr,
+        body: DatagramBody,
+        out: &mut Vec<Outgoing>,
+    ) {
         if self.budget.allows_reply() {
             self.send(now_ms, to, body, out);
         }
     }
 
-    fn send(&mut self, now_ms: Millis, to: SocketAddr, body: DatagramBody, out: &mut Vec<Outgoing>) {
-        match self.sealer.seal(now_ms, body) {
+    fn send(
+        &mut self,
+        now_ms: Millis,
+        to: SocketAddr,
+        body: DatagramBody,
+        out: &mut Vec<Outgoing>,
+    ) {
+        match self.encoder.encode(now_ms, body) {
             Ok(bytes) => {
                 let cost_bytes = bytes.len() as u64 + UDP_OVERHEAD_BYTES;
                 self.budget.spend(cost_bytes);
@@ -969,7 +996,7 @@
     }
 
     fn builder(&self, now_ms: Millis) -> BodyBuilder {
-        BodyBuilder::new(self.sealer.body_room_bytes(now_ms), self.own_revision())
+        BodyBuilder::new(self.encoder.max_body_bytes(now_ms), self.own_revision())
     }
 
     fn region_body(&mut self, now_ms: Millis) -> DatagramBody {
@@ -1085,7 +1112,9 @@
             let surplus_sends = record.beat_sends.saturating_sub(EXTRA_BEAT_SENDS);
             (surplus_sends, Reverse(record.beat))
         });
-        let beats = records.iter().map(|record| self.compact_heartbeat(now_ms, record));
+        let beats = records
+            .iter()
+            .map(|record| self.compact_heartbeat(now_ms, record));
         let hosts = records.iter().map(|record| record.heartbeat.host.clone());
         let candidates: Vec<(HostId, CompactHeartbeat)> = hosts.zip(beats).collect();
         let reserved = builder.room_bytes * (100 - BEAT_ROOM_PERCENT) / 100;
--- a/src/peer/store.rs
+++ b/src/peer/store.rs
@@ -248,7 +248,8 @@
     ) {
         events.push(record.next_event(now_ms));
         let host = record.heartbeat.host.clone();
-        self.id_owners.insert(record.id, IdOwner::Host(host.clone()));
+        self.id_owners
+            .insert(record.id, IdOwner::Host(host.clone()));
         self.hosts.insert(host, record);
     }
 
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -55,11 +55,11 @@
 /// Largest accepted difference between a stamp and the local clock.
 pub const MAX_CLOCK_SKEW_MS: Millis = Millis(300_000);
 /// How long the replay window of a silent host is kept.
-const WINDOW_KEEP_MS: Millis = Millis(2 * MAX_CLOCK_SKEW_MS.0);
+const REPLAY_WINDOW_TTL_MS: Millis = Millis(2 * MAX_CLOCK_SKEW_MS.0);
 /// Most hosts with a replay window; above the 3,700 hosts of the design size.
 pub const MAX_REPLAY_WINDOWS: usize = 8_192;
 /// How far behind the newest sequence number a datagram may arrive.
-const WINDOW_SEQUENCES: u64 = 128;
+const REPLAY_WINDOW_SEQUENCES: u64 = 128;
 
 type HmacSha256 = Hmac<Sha256>;
 
@@ -131,7 +131,7 @@
 
     /// A key for one purpose, bound to `parts`.
     pub fn derive(&self, purpose: &str, parts: &[&[u8]]) -> Self {
-        Self(self.mac(&with_lengths(purpose, parts)))
+        Self(self.mac(&length_prefixed(purpose, parts)))
     }
 
     /// The truncated tag of the concatenated parts.
@@ -160,7 +160,7 @@
 }
 
 /// Prefixes each part with its length, so that no two lists of parts collide.
-fn with_lengths(purpose: &str, parts: &[&[u8]]) -> Vec<Vec<u8>> {
+fn length_prefixed(purpose: &str, parts: &[&[u8]]) -> Vec<Vec<u8>> {
     let all = std::iter::once(purpose.as_bytes()).chain(parts.iter().copied());
     all.map(|part| {
         let mut bytes = (part.len() as u64).to_be_bytes().to_vec();
@@ -195,16 +195,16 @@
     Millis(instant_ms.0 / TICK_MS.0 * TICK_MS.0)
 }
 
-/// How many ticks `instant_ms` lies below `stamp_ms`.
-pub fn ticks_behind(stamp_ms: Millis, instant_ms: Millis) -> i64 {
-    let stamp = stamp_ms.0 / TICK_MS.0;
-    stamp.wrapping_sub(instant_ms.0 / TICK_MS.0) as i64
+/// How many ticks `instant_ms` lies below `timestamp_ms`.
+pub fn ticks_behind(timestamp_ms: Millis, instant_ms: Millis) -> i64 {
+    let timestamp = timestamp_ms.0 / TICK_MS.0;
+    timestamp.wrapping_sub(instant_ms.0 / TICK_MS.0) as i64
 }
 
-/// The instant that lies `ticks` below `stamp_ms`.
-pub fn ticks_before(stamp_ms: Millis, ticks: i64) -> Millis {
-    let stamp = stamp_ms.0 / TICK_MS.0;
-    let tick = stamp.saturating_add_signed(ticks.saturating_neg());
+/// The instant that lies `ticks` below `timestamp_ms`.
+pub fn ticks_before(timestamp_ms: Millis, ticks: i64) -> Millis {
+    let timestamp = timestamp_ms.0 / TICK_MS.0;
+    let tick = timestamp.saturating_add_signed(ticks.saturating_neg());
     Millis(tick.saturating_mul(TICK_MS.0))
 }
 
@@ -290,12 +290,12 @@
 
 /// Writes the datagrams of one run.
 #[derive(Debug)]
-pub struct Sealer {
+pub struct DatagramEncoder {
     key: ClusterKey,
     header: DatagramHeader,
 }
 
-impl Sealer {
+impl DatagramEncoder {
     /// Starts at sequence number 1.
     pub fn new(key: &ClusterKey, sender: HostId, incarnation: Incarnation) -> Self {
         Self {
@@ -310,7 +310,7 @@
     }
 
     /// Room for a body in one datagram.
-    pub fn body_room_bytes(&self, now_ms: Millis) -> usize {
+    pub fn max_body_bytes(&self, now_ms: Millis) -> usize {
         let next = DatagramHeader {
             sequence: self.header.sequence + 1,
             sent_ms: now_ms,
@@ -321,7 +321,7 @@
     }
 
     /// Encodes and tags one datagram.
-    pub fn seal(&mut self, now_ms: Millis, body: DatagramBody) -> Result<Vec<u8>, WireError> {
+    pub fn encode(&mut self, now_ms: Millis, body: DatagramBody) -> Result<Vec<u8>, WireError> {
         self.header.sequence += 1;
         self.header.sent_ms = now_ms;
         let datagram = Datagram {
@@ -395,62 +395,62 @@
 #[derive(Debug)]
 struct ReplayWindow {
     incarnation: Incarnation,
-    highest: u64,
-    /// Bit `n` is set if `highest - n` was seen.
-    seen: u128,
+    highest_sequence: u64,
+    /// Bit `n` is set if `highest_sequence - n` was seen.
+    seen_bits: u128,
     newest_sent_ms: Millis,
-    heard_ms: Millis,
+    last_received_ms: Millis,
 }
 
 impl ReplayWindow {
     fn new(header: &DatagramHeader, now_ms: Millis) -> Self {
         Self {
             incarnation: header.incarnation,
-            highest: header.sequence,
-            seen: 1,
+            highest_sequence: header.sequence,
+            seen_bits: 1,
             newest_sent_ms: header.sent_ms,
-            heard_ms: now_ms,
+            last_received_ms: now_ms,
         }
     }
 
     /// Records a sequence number; false if it was seen or is too far behind.
-    fn admit(&mut self, sequence: u64) -> bool {
-        if sequence > self.highest {
-            let ahead = sequence - self.highest;
-            self.seen = match ahead {
-                0..WINDOW_SEQUENCES => self.seen << ahead | 1,
+    fn accept_sequence(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest_sequence {
+            let ahead = sequence - self.highest_sequence;
+            self.seen_bits = match ahead {
+                0..REPLAY_WINDOW_SEQUENCES => self.seen_bits << ahead | 1,
                 _ => 1,
             };
-            self.highest = sequence;
+            self.highest_sequence = sequence;
             return true;
         }
-        let behind = self.highest - sequence;
-        if behind >= WINDOW_SEQUENCES {
+        let behind = self.highest_sequence - sequence;
+        if behind >= REPLAY_WINDOW_SEQUENCES {
             return false;
         }
         let bit = 1u128 << behind;
-        let is_new = self.seen & bit == 0;
-        self.seen |= bit;
+        let is_new = self.seen_bits & bit == 0;
+        self.seen_bits |= bit;
         is_new
     }
 }
 
 /// Checks and decodes datagrams of other hosts.
 #[derive(Debug)]
-pub struct Opener {
+pub struct DatagramDecoder {
     key: ClusterKey,
-    own: HostId,
+    own_host: HostId,
     windows: HashMap<HostId, ReplayWindow>,
     max_windows: usize,
     counts: WireCounts,
 }
 
-impl Opener {
+impl DatagramDecoder {
     /// Has heard nobody yet; datagrams written by `own` are refused.
-    pub fn new(key: &ClusterKey, own: HostId) -> Self {
+    pub fn new(key: &ClusterKey, own_host: HostId) -> Self {
         Self {
             key: datagram_key(key),
-            own,
+            own_host,
             windows: HashMap::new(),
             max_windows: MAX_REPLAY_WINDOWS,
             counts: WireCounts::default(),
@@ -474,15 +474,15 @@
     }
 
     /// Checks, decodes and counts one datagram.
-    pub fn open(&mut self, now_ms: Millis, bytes: &[u8]) -> Result<Datagram, WireError> {
+    pub fn decode(&mut self, now_ms: Millis, bytes: &[u8]) -> Result<Datagram, WireError> {
         let result = self
-            .decode(bytes)
-            .and_then(|datagram| self.admit(now_ms, datagram));
+            .verify_and_decode(bytes)
+            .and_then(|datagram| self.check_replay(now_ms, datagram));
         self.counts.count(&result);
         result
     }
 
-    fn decode(&self, bytes: &[u8]) -> Result<Datagram, WireError> {
+    fn verify_and_decode(&self, bytes: &[u8]) -> Result<Datagram, WireError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::TooLong { bytes: bytes.len() });
         }
@@ -503,7 +503,7 @@
         }
     }
 
-    fn admit(&mut self, now_ms: Millis, datagram: Datagram) -> Result<Datagram, WireError> {
+    fn check_replay(&mut self, now_ms: Millis, datagram: Datagram) -> Result<Datagram, WireError> {
         let header = &datagram.header;
         let sender = || header.sender.clone();
         let skew = Millis(now_ms.0.abs_diff(header.sent_ms.0));
@@ -517,16 +517,16 @@
             sender: sender(),
             sequence: header.sequence,
         };
-        if header.sender == self.own {
+        if header.sender == self.own_host {
             return Err(replayed());
         }
         match self.windows.get_mut(&header.sender) {
             Some(window) if window.incarnation == header.incarnation => {
-                if !window.admit(header.sequence) {
+                if !window.accept_sequence(header.sequence) {
                     return Err(replayed());
                 }
                 window.newest_sent_ms = window.newest_sent_ms.max(header.sent_ms);
-                window.heard_ms = now_ms;
+                window.last_received_ms = now_ms;
             }
             Some(window) if header.sent_ms <= window.newest_sent_ms => {
                 return Err(WireError::OldIncarnation {
@@ -536,20 +536,20 @@
             }
             _ => {
                 let window = ReplayWindow::new(header, now_ms);
-                self.make_room(now_ms, &header.sender);
+                self.evict_windows(now_ms, &header.sender);
                 self.windows.insert(header.sender.clone(), window);
             }
         }
         Ok(datagram)
     }
 
-    fn make_room(&mut self, now_ms: Millis, sender: &HostId) {
+    fn evict_windows(&mut self, now_ms: Millis, sender: &HostId) {
         self.windows
-            .retain(|_, window| now_ms - window.heard_ms <= WINDOW_KEEP_MS);
+            .retain(|_, window| now_ms - window.last_received_ms <= REPLAY_WINDOW_TTL_MS);
         if self.windows.len() < self.max_windows || self.windows.contains_key(sender) {
             return;
         }
-        let oldest = self.windows.iter().min_by_key(|(_, w)| w.heard_ms);
+        let oldest = self.windows.iter().min_by_key(|(_, w)| w.last_received_ms);
         if let Some(oldest) = oldest.map(|(host, _)| host.clone()) {
             self.windows.remove(&oldest);
         }
