--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -25,16 +25,16 @@
     endpoint::{
         Announcement,
         Endpoint,
-        Share,
+        LoadShare,
         Work,
         slots_of, //
     },
     hosts::RegionView,
-    request::RequestMetadata,
-    sharing::{
+    load_updates::{
         EndpointBlock,
         SentPrompt, //
-    }, //
+    },
+    request::RequestMetadata, //
 };
 
 /// Time until a first event without any prompt to read: the shortest that a
@@ -88,9 +88,9 @@
 /// Cost of a stream that will not end within its time limit.
 const OVERRUN_COST_MS: f64 = 600.0;
 /// Weight of a new observation in the mean time of a run.
-const RUN_LEARN_WEIGHT: f64 = 0.1;
+const RUN_EWMA_WEIGHT: f64 = 0.1;
 /// The same for the time to read a token, which is told by few requests.
-const TOKEN_LEARN_WEIGHT: f64 = 0.03;
+const TOKEN_EWMA_WEIGHT: f64 = 0.03;
 /// Weight of the error rate in the choice.
 const ERROR_WEIGHT: f64 = 6.0;
 /// Share of an engine's memory beyond which requests are preempted.
@@ -242,12 +242,17 @@
     }
 
     /// Takes over an announcement; false if its data centre is unknown.
-    pub fn announce(&mut self, id: &str, announcement: Announcement, now_ms: u64) -> bool {
+    pub fn apply_announcement(
+        &mut self,
+        id: &str,
+        announcement: Announcement,
+        now_ms: u64,
+    ) -> bool {
         let Some(region) = self.regions.get(&announcement.data_centre) else {
             return false;
         };
         match self.endpoints.get_mut(id) {
-            Some(endpoint) => endpoint.announce(announcement, now_ms),
+            Some(endpoint) => endpoint.apply_announcement(announcement, now_ms),
             None => {
                 let endpoint = Endpoint::new(id.into(), region.clone(), announcement, now_ms);
                 self.endpoints.insert(id.into(), endpoint);
@@ -266,7 +271,7 @@
     /// Forgets endpoints that are not announced and have finished their work.
     pub fn drop_withdrawn(&mut self, now_ms: u64) {
         self.endpoints
-            .retain(|_, endpoint| endpoint.is_listed(now_ms) || endpoint.own.active > 0);
+            .retain(|_, endpoint| endpoint.is_announced(now_ms) || endpoint.own_load.active > 0);
     }
 
     /// Stops or resumes the use of a data centre's endpoints.
@@ -310,12 +315,12 @@
     }
 
     /// Replaces what the other hosts of the region have at the endpoints.
-    pub fn set_others<F>(&mut self, share_at: F)
+    pub fn set_peer_loads<F>(&mut self, share_at: F)
     where
-        F: Fn(u32) -> Share,
+        F: Fn(u32) -> LoadShare,
     {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.others = share_at(endpoint.hash);
+            endpoint.peer_load = share_at(endpoint.hash);
         }
     }
 
@@ -325,29 +330,29 @@
     }
 
     /// Takes over that another host of the region cannot use an endpoint.
-    pub fn block_told(&mut self, block: &EndpointBlock, now_ms: u64) {
+    pub fn apply_peer_block(&mut self, block: &EndpointBlock, now_ms: u64) {
         if let Some(endpoint) = self.get_by_hash(block.endpoint) {
-            endpoint.block_told(u64::from(block.for_ms), now_ms);
+            endpoint.apply_peer_block(u64::from(block.for_ms), now_ms);
         }
     }
 
     /// Remembers a prompt that another host of the region sent.
-    pub fn remember_told(&mut self, sent: &SentPrompt, now_ms: u64) {
+    pub fn record_peer_prompt(&mut self, sent: &SentPrompt, now_ms: u64) {
         if let Some(endpoint) = self.get_by_hash(sent.endpoint) {
-            endpoint.remember_told(sent, now_ms);
+            endpoint.record_peer_prompt(sent, now_ms);
         }
     }
 
     /// Learns how long requests of a service run.
-    pub fn learn_run(&mut self, service: &str, run_ms: f64) {
+    pub fn record_run_time(&mut self, service: &str, run_ms: f64) {
         let known = self.run_ms.entry(service.into()).or_insert(run_ms);
-        *known += RUN_LEARN_WEIGHT * (run_ms - *known);
+        *known += RUN_EWMA_WEIGHT * (run_ms - *known);
     }
 
     /// Learns how long a service's endpoints take to read a prompt token.
     ///
     /// Only requests that dominate their endpoint's backlog tell it.
-    pub fn learn_first_event(&mut self, service: &str, choice: &Choice, actual_ms: f64) {
+    pub fn record_first_event_time(&mut self, service: &str, choice: &Choice, actual_ms: f64) {
         let tokens = choice.work.uncached_tokens as f64;
         let is_telling = tokens > 1_000.0 && choice.backlog_ms < choice.first_event_ms / 4.0;
         if !is_telling {
@@ -356,7 +361,7 @@
         let observed =
             ((actual_ms - FIRST_EVENT_MS) / tokens).clamp(TOKEN_MS / 20.0, TOKEN_MS * 20.0);
         let known = self.token_ms.entry(service.into()).or_insert(TOKEN_MS);
-        *known += TOKEN_LEARN_WEIGHT * (observed - *known);
+        *known += TOKEN_EWMA_WEIGHT * (observed - *known);
     }
 
     /// Endpoints of `service` in this region that may be used, their load and
@@ -436,7 +441,7 @@
         let run_ms = self.run_ms(service);
         let token_ms = self.token_ms(service, load);
         let waiting = (load + 1.0 - slots).max(0.0) / slots * run_ms;
-        let backlog_tokens = endpoint.own.backlog_tokens + endpoint.others.backlog_tokens;
+        let backlog_tokens = endpoint.own_load.backlog_tokens + endpoint.peer_load.backlog_tokens;
         let backlog_ms = endpoint.slowness() * (backlog_tokens as f64 * token_ms + waiting)
             + self.memory_wait_ms(endpoint, service, work, run_ms);
         let own_ms = match service.engine {
@@ -533,7 +538,9 @@
             return 0.0;
         };
         let memory = engine.memory_tokens;
-        let held = endpoint.own.held_tokens + endpoint.others.held_tokens + work.held_tokens;
+        let held = endpoint.own_load.reserved_tokens
+            + endpoint.peer_load.reserved_tokens
+            + work.reserved_tokens;
         let excess = held as f64 / (memory as f64 * MEMORY_SHARE) - 1.0;
         excess.max(0.0) * run_ms
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,7 +7,6 @@
 //! Names of the platform stand only in [`crate::platform`].
 
 pub mod admission;
-pub mod belief;
 pub mod body;
 pub mod configuration;
 pub mod connection;
@@ -18,8 +17,8 @@
 pub mod follower;
 pub mod head;
 pub mod hosts;
-mod news;
-pub mod peer_news;
+pub mod load_updates;
+pub mod peer_changes;
 pub mod reactor;
 pub mod registration;
 pub mod request;
@@ -32,6 +31,7 @@
 mod serve_response;
 mod serve_upstream;
 pub mod settings;
-pub mod sharing;
 pub mod start;
+mod state_updates;
+pub mod store_replica;
 pub mod telemetry;
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_client.rs
@@ -20,9 +20,9 @@
         RequestHead,
         parse_request, //
     },
-    peer_news::{
-        NEWS_PATH,
-        tell_news, //
+    peer_changes::{
+        CHANGES_PATH,
+        encode_changes, //
     },
     reactor::Reactor, //
     response::{
@@ -133,7 +133,7 @@
         }
         match client.role {
             Role::Caller => self.route_request(key, head, body, None),
-            Role::Peer if head.path() == NEWS_PATH => self.answer_news(key, head.query()),
+            Role::Peer if head.path() == CHANGES_PATH => self.answer_news(key, head.query()),
             Role::Peer => match head.header(FORWARD_HEADER).and_then(ResolvedRoute::decode) {
                 Some(route) => self.route_request(key, head, body, Some(route)),
                 None => self.respond(key, GatewayResponse::new(400)),
@@ -245,7 +245,10 @@
     }
 
     fn answer_news(&mut self, key: usize, query: &str) {
-        let news = self.belief.as_ref().map(|belief| tell_news(belief, query));
+        let news = self
+            .replica
+            .as_ref()
+            .map(|replica| encode_changes(replica, query));
         match news {
             Some(Ok(bytes)) => {
                 let response = GatewayResponse::new(200);
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -46,9 +46,9 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        endpoint.start(choice.work, now_ms);
+        endpoint.record_send(choice.work, now_ms);
         let metadata = &exchange.request.metadata;
-        endpoint.remember(metadata, now_ms + choice.first_event_ms as u64);
+        endpoint.record_prompt(metadata, now_ms + choice.first_event_ms as u64);
         self.pending_update
             .record_send(&choice, endpoint.hash, metadata);
         let headers = EndpointHeaders {
