--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,7 +1,7 @@
-//! Connections of the reactor: to callers and hosts, and to endpoints.
+//! Connections of the reactor to callers, other hosts and endpoints.
 //!
-//! All sockets are non-blocking and registered once, edge-triggered, for both
-//! directions.
+//! All sockets are non-blocking. Each is registered once, edge-triggered, for
+//! reading and writing.
 
 use std::{
     io::{
@@ -28,36 +28,36 @@
     }, //
 };
 
-/// Time without an acknowledgement after which a peer counts as gone. Links
-/// between regions take up to a fifth of a second both ways, and a lost packet
-/// is sent again within a second.
+/// Time without an acknowledgement after which the kernel closes a connection.
+/// The round trip between regions is up to a fifth of a second, and a lost
+/// packet is retransmitted within a second.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
-/// Silence after which the peer is probed.
+/// Idle time before the first keep-alive probe, and interval between probes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a peer counts as gone.
+/// Unanswered keep-alive probes after which the kernel closes a connection.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Bytes read from a connection at once.
+/// Size of a single read from a socket.
 const READ_BYTES: usize = 32 * 1024;
-/// Bytes read from one connection before others get their turn.
+/// Bytes read from one connection before the reactor serves others.
 const READ_TURN_BYTES: usize = 512 * 1024;
 
-/// What happened to the reading side of a connection.
+/// State of the read side of a connection after a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadState {
-    /// More may come.
+    /// More data may arrive.
     Open,
-    /// The peer has ended its side.
+    /// The peer has closed its write side.
     Closed,
-    /// The connection is broken.
+    /// Reading failed.
     Broken,
 }
 
-/// A socket with its buffers.
+/// A socket with input and output buffers.
 #[derive(Debug)]
 pub struct BufferedSocket {
-    /// The socket.
+    /// Underlying socket.
     pub stream: TcpStream,
-    /// Received bytes that have not been used.
+    /// Received bytes that have not been consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
@@ -73,7 +73,7 @@
             written: 0,
         };
         if let Err(error) = socket.set_options() {
-            tracing::debug!(%error, "could not set options of a socket");
+            tracing::debug!(%error, "could not set socket options; the connection uses the defaults");
         }
         socket
     }
@@ -90,7 +90,7 @@
         )
     }
 
-    /// Reads what has arrived into the input.
+    /// Reads available bytes into the input buffer, up to [`READ_TURN_BYTES`].
     pub fn fill(&mut self) -> ReadState {
         let mut turn = 0;
         loop {
@@ -112,22 +112,22 @@
         }
     }
 
-    /// Appends bytes to the output.
+    /// Appends bytes to the output buffer.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Buffer to which output can be appended.
+    /// Output buffer, for appending.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes of the output that have not been written.
+    /// Number of output bytes that have not been written.
     pub fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Writes as much of the output as the socket takes; false if it is broken.
+    /// Writes as much output as the socket accepts; false if writing failed.
     pub fn flush(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -146,7 +146,7 @@
         true
     }
 
-    /// Gives memory of empty buffers back.
+    /// Releases the memory of empty buffers.
     pub fn shrink(&mut self) {
         if self.input.is_empty() {
             self.input = Vec::new();
@@ -157,22 +157,22 @@
     }
 }
 
-/// What a listener serves.
+/// Kind of requests that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Requests of callers.
     Caller,
-    /// Requests that other hosts forward.
+    /// Requests of other hosts.
     Peer,
-    /// Questions which hosts to use.
+    /// Directory queries for the hosts that a caller should use.
     Directory,
-    /// Questions whether this host takes requests.
+    /// Readiness checks.
     Ready,
-    /// Metrics.
+    /// Metrics scrapes.
     Metrics,
 }
 
-/// How far a request has been read.
+/// Parsing progress of a request.
 #[derive(Debug)]
 pub enum RequestProgress {
     /// The head is incomplete.
@@ -183,7 +183,7 @@
         head: Box<RequestHead>,
         /// Decoder of the body.
         decoder: BodyDecoder,
-        /// Body so far.
+        /// Body decoded so far.
         content: Vec<u8>,
     },
 }
@@ -193,24 +193,24 @@
 pub struct Client {
     /// Socket and buffers.
     pub socket: BufferedSocket,
-    /// What it is for.
+    /// Kind of requests on it.
     pub role: Role,
-    /// How far the next request has been read.
+    /// Parsing progress of the next request.
     pub request_progress: RequestProgress,
-    /// Request in progress.
+    /// Key of the request in progress.
     pub exchange: Option<usize>,
-    /// The peer has ended its side.
+    /// The peer has closed its write side.
     pub is_read_closed: bool,
-    /// The connection ends when the output is written.
+    /// The connection is closed once the output is written.
     pub is_closing: bool,
-    /// Last time at which a request ended or a byte arrived.
+    /// Time at which a request last ended or a byte last arrived.
     pub last_active_ms: u64,
-    /// Time of the first byte of the request that is being read.
+    /// Arrival time of the first byte of the request that is being read.
     pub request_started_ms: Option<u64>,
 }
 
 impl Client {
-    /// A connection without a request.
+    /// Returns an accepted connection without a request.
     pub fn new(stream: TcpStream, role: Role, now_ms: u64) -> Self {
         Self {
             socket: BufferedSocket::new(stream),
@@ -225,29 +225,29 @@
     }
 }
 
-/// What a connection to an endpoint is doing.
+/// Phase of a connection to an endpoint or host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamPhase {
-    /// The connection is being made.
+    /// The TCP handshake is in progress.
     Connecting,
     /// A request is in progress.
     Busy,
-    /// The connection waits for its next request.
+    /// The connection is open and free for the next request.
     Idle,
 }
 
-/// How far an answer has been read.
+/// Parsing progress of a response.
 #[derive(Debug)]
 pub enum ResponseProgress {
     /// The head is incomplete.
     Head,
     /// The body is incomplete.
     Body {
-        /// Head of the answer.
+        /// Head of the response.
         head: Box<ResponseHead>,
         /// Decoder of the body.
         decoder: BodyDecoder,
-        /// The answer belongs to an earlier request and is dropped.
+        /// The response belongs to an earlier request and is discarded.
         is_stale: bool,
     },
 }
@@ -257,32 +257,32 @@
 pub struct Upstream {
     /// Socket and buffers.
     pub socket: BufferedSocket,
-    /// Other end.
+    /// Remote address.
     pub address: SocketAddr,
-    /// What it is doing.
+    /// Current phase.
     pub phase: UpstreamPhase,
-    /// Request in progress; none if its caller has left and the answer is dropped.
+    /// Key of the request in progress; none if the response is discarded.
     pub exchange: Option<usize>,
-    /// How far the answer has been read.
+    /// Parsing progress of the response.
     pub response_progress: ResponseProgress,
-    /// The request asks for the head only.
+    /// The request method is HEAD, so the response has no body.
     pub is_head_request: bool,
-    /// When the connection was opened, or became idle.
+    /// Time at which the connection was opened or became idle.
     pub since_ms: u64,
-    /// Requests sent on it.
+    /// Number of requests sent on it.
     pub request_count: u32,
-    /// When an idle connection is no longer used.
+    /// Time from which an idle connection is not reused.
     pub idle_deadline_ms: u64,
-    /// The other end is a host of another region.
+    /// The remote end is a host of another region.
     pub is_peer: bool,
-    /// The answer is not read on until the caller has read what is written.
+    /// Reading is paused until the caller has received pending output.
     pub is_paused: bool,
-    /// An answer to an earlier request arrived, so the connection is not reused.
+    /// A response to an earlier request arrived, so the connection is not reused.
     pub had_stale_response: bool,
 }
 
 impl Upstream {
-    /// A connection that is being made.
+    /// Returns a connection whose handshake is in progress.
     pub fn new(stream: TcpStream, address: SocketAddr, now_ms: u64) -> Self {
         Self {
             socket: BufferedSocket::new(stream),
