--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -1,15 +1,15 @@
-//! Bodies of HTTP/1.1 messages, decoded piece by piece.
+//! Incremental decoding of HTTP/1.1 message bodies.
 
 use thiserror::Error;
 
 use super::head::Framing;
 
-/// Longest line with a chunk size or a trailer field.
+/// Maximum length of a chunk-size line or trailer line.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// The chunked coding is broken.
+/// Error in the chunked transfer coding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the chunked coding is malformed")]
+#[error("chunked transfer coding is malformed")]
 pub struct ChunkError;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,18 +21,18 @@
     Done,
 }
 
-/// Decodes one body.
+/// Decoder of one message body.
 #[derive(Debug)]
 pub enum BodyDecoder {
-    /// So many bytes are still to come.
+    /// Body of known length, with the number of bytes that are missing.
     Length(u64),
     /// Chunked transfer coding.
     Chunked(ChunkDecoder),
-    /// The body ends with the connection.
+    /// Body that ends when the connection is closed.
     UntilClose,
 }
 
-/// Decodes the chunked transfer coding; extensions and trailers are dropped.
+/// Decoder of the chunked transfer coding; drops extensions and trailers.
 #[derive(Debug)]
 pub struct ChunkDecoder {
     state: ChunkState,
@@ -40,7 +40,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body with this framing.
+    /// Returns a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::Length(bytes) => Self::Length(bytes),
@@ -52,9 +52,14 @@
         }
     }
 
-    /// Appends the content in `input` to `out` and returns the bytes consumed.
+    /// Appends decoded content of `input` to `out` and returns the number of
+    /// bytes consumed.
     ///
-    /// Fewer than all bytes are consumed only if the body ends within `input`.
+    /// Bytes are left over only if the body ends within `input`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the chunked coding is malformed.
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         match self {
             Self::Length(left) => {
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Whether the whole body has been decoded.
+    /// Returns whether the body has been decoded completely.
     pub fn is_done(&self) -> bool {
         match self {
             Self::Length(left) => *left == 0,
@@ -141,7 +146,7 @@
     u64::from_str_radix(text, 16).map_err(|_| ChunkError)
 }
 
-/// Appends `content` as one chunk.
+/// Appends `content` to `out` as one chunk; does nothing if it is empty.
 pub fn write_chunk(content: &[u8], out: &mut Vec<u8>) {
     if content.is_empty() {
         return;
@@ -151,7 +156,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a chunked body.
+/// Appends the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
--- a/src/gateway/head.rs
+++ b/src/gateway/head.rs
@@ -1,8 +1,8 @@
-//! Heads of HTTP/1.1 messages, read strictly.
+//! Strict parsing of HTTP/1.1 message heads.
 //!
-//! `httparse` tokenises. The rules added here close the gaps through which one
-//! message can be read as two: a line feed without a carriage return, two
-//! lengths, and a length beside a transfer encoding.
+//! `httparse` tokenises the head. The rules added here prevent request
+//! smuggling: they reject a line feed without a carriage return, two lengths,
+//! and a length beside a transfer encoding.
 
 use compact_str::CompactString;
 use memchr::{
@@ -11,9 +11,9 @@
 };
 use thiserror::Error;
 
-/// Most header fields in one head.
+/// Maximum number of header fields in a head.
 const MAX_HEADERS: usize = 96;
-/// Longest head of an answer; endpoints send a few hundred bytes.
+/// Maximum size of a response head; endpoints send a few hundred bytes.
 pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
 
 /// A header field.
@@ -21,22 +21,22 @@
 pub struct Header {
     /// Name as sent.
     pub name: CompactString,
-    /// Value without surrounding white space.
+    /// Value without surrounding whitespace.
     pub value: Box<[u8]>,
 }
 
 impl Header {
-    /// Whether this is the field `name`, in any case.
+    /// Returns whether the field is called `name`, ignoring case.
     pub fn is(&self, name: &str) -> bool {
         self.name.eq_ignore_ascii_case(name)
     }
 
-    /// The value, if it is text.
+    /// Returns the value if it is valid UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(&self.value).ok()
     }
 
-    /// Whether the field concerns one connection only.
+    /// Returns whether the field is hop-by-hop and must not be forwarded.
     pub fn is_hop_by_hop(&self) -> bool {
         const NAMES: [&str; 9] = [
             "connection",
@@ -53,82 +53,82 @@
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// The length is known; 0 if there is no body.
+    /// Length in bytes; 0 if there is no body.
     Length(u64),
     /// Chunked transfer coding.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// Why a head is refused.
+/// Reason for which a head is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// Not HTTP/1.1, or ambiguous.
-    #[error("the head is malformed")]
+    /// The head is not valid HTTP/1.1 or is ambiguous.
+    #[error("message head is not valid HTTP/1.1 or is ambiguous")]
     Malformed,
-    /// Longer than the limit.
-    #[error("the head is too long")]
+    /// The head exceeds the size limit.
+    #[error("message head exceeds the size limit")]
     TooLong,
-    /// A transfer coding other than chunked.
-    #[error("the transfer coding is not supported")]
+    /// The transfer coding is not `chunked`.
+    #[error("transfer coding is not supported, expected chunked")]
     UnsupportedCoding,
 }
 
-/// Head of a request.
+/// Parsed head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
     /// Method.
     pub method: CompactString,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: CompactString,
-    /// Header fields in order.
+    /// Header fields in the order sent.
     pub headers: Vec<Header>,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// The sender keeps the connection open.
+    /// The sender allows the connection to be reused.
     pub is_keep_alive: bool,
-    /// The sender waits for permission to send the body.
+    /// The sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Head of an answer.
+/// Parsed head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Reason phrase.
     pub reason: CompactString,
-    /// Header fields in order.
+    /// Header fields in the order sent.
     pub headers: Vec<Header>,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// The sender keeps the connection open.
+    /// The sender allows the connection to be reused.
     pub is_keep_alive: bool,
 }
 
 impl RequestHead {
-    /// Value of a header field.
+    /// Returns the value of a header field, if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         find(&self.headers, name)
     }
 
-    /// Path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Query without the question mark.
+    /// Returns the query without the question mark.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 }
 
 impl ResponseHead {
-    /// Value of a header field.
+    /// Returns the value of a header field, if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         find(&self.headers, name)
     }
@@ -138,7 +138,7 @@
     headers.iter().find(|header| header.is(name))?.text()
 }
 
-/// Reads a request's head at the start of `bytes`; none if it is incomplete.
+/// Parses a request head at the start of `bytes`; none if it is incomplete.
 ///
 /// Returns the head and its length in bytes.
 pub fn parse_request(
@@ -172,9 +172,10 @@
     Ok(Some((head, length)))
 }
 
-/// Reads an answer's head at the start of `bytes`; none if it is incomplete.
+/// Parses a response head at the start of `bytes`; none if it is incomplete.
 ///
-/// `is_head_request` tells that the answer has no body whatever it declares.
+/// With `is_head_request`, the response has no body whatever its fields declare.
+/// Returns the head and its length in bytes.
 pub fn parse_response(
     bytes: &[u8],
     is_head_request: bool,
@@ -209,7 +210,7 @@
     )))
 }
 
-/// Length of the head, once its end has arrived.
+/// Returns the length of the head in bytes; none if its end has not arrived.
 fn head_length(bytes: &[u8], max_bytes: usize) -> Result<Option<usize>, HeadError> {
     let end = memmem::find(bytes, b"\r\n\r\n").map(|at| at + 4);
     let seen = &bytes[..end.unwrap_or(bytes.len())];
