--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,12 +1,12 @@
-//! Boundaries of server-sent events.
+//! Splitting of streams at server-sent event boundaries.
 //!
-//! An endpoint can stop in the middle of an event. Only whole events are passed
-//! on, so that another endpoint can continue a stream after the last one.
+//! An endpoint can stop in the middle of an event. Only complete events are
+//! relayed, so that another endpoint can continue a stream after the last one.
 
 use compact_str::CompactString;
 use memchr::memmem;
 
-/// Splits a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events and records the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
@@ -15,12 +15,12 @@
 }
 
 impl EventSplitter {
-    /// A splitter at the start of a stream.
+    /// Returns a splitter at the start of a stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes content and appends the events that it completes to `out`.
+    /// Adds content and appends the events that it completes to `out`.
     pub fn push(&mut self, content: &[u8], out: &mut Vec<u8>) {
         self.partial.extend_from_slice(content);
         let mut start = 0;
@@ -34,22 +34,22 @@
         out.extend(self.partial.drain(..start));
     }
 
-    /// Drops an event that has not ended; the stream goes on after the last whole one.
+    /// Drops an incomplete event; the stream continues after the last complete one.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Content after the last whole event.
+    /// Returns the content after the last complete event.
     pub fn partial(&self) -> &[u8] {
         &self.partial
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&CompactString> {
         self.last_id.as_ref()
     }
 
-    /// Number of whole events.
+    /// Returns the number of complete events.
     pub fn complete_count(&self) -> u64 {
         self.complete_count
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows about a request before it is placed.
+//! Request metadata that the placement of a request uses.
 
 use compact_str::CompactString;
 
@@ -7,55 +7,55 @@
 /// A part of a prompt that several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part.
+    /// Id of the part; equal parts have equal ids.
     pub id: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: Tokens,
 }
 
-/// Load of an endpoint, as it reports it.
+/// Load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What a caller says about one attempt.
+/// Metadata that a caller sends with one attempt of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestMetadata {
-    /// Identity of the attempt; every retry of a caller has its own.
+    /// Id of the attempt; each retry by the caller has a new one.
     pub attempt_id: CompactString,
-    /// How long the caller will wait.
+    /// Time that the caller waits for the response.
     pub time_limit_ms: Option<u64>,
-    /// Model, empty for plain services.
+    /// Model; empty for services without a model.
     pub model: CompactString,
     /// Length of the prompt.
     pub prompt_tokens: Tokens,
-    /// Most tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_output_tokens: Tokens,
-    /// Parts of the prompt in order; the last one is the caller's own.
+    /// Parts of the prompt in order; the last one is specific to this request.
     pub parts: Vec<PromptPart>,
-    /// Event after which the caller resumes a stream.
+    /// Id of the event after which the caller resumes a stream.
     pub last_event_id: Option<CompactString>,
 }
 
 impl RequestMetadata {
-    /// The parts that other requests may share.
+    /// Returns the parts that other requests may share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let count = self.parts.len().saturating_sub(1);
         &self.parts[..count]
     }
 
-    /// Length of the shared parts.
+    /// Returns the total length of the shared parts in tokens.
     pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().iter().map(|part| part.tokens.0).sum()
     }
 
-    /// The last part that other requests share: the key for cache affinity.
+    /// Returns the id of the last shared part, the key for cache affinity.
     pub fn affinity_key(&self) -> Option<u64> {
         self.shared_parts().last().map(|part| part.id)
     }
