--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its arrival to the end of its answer.
+//! State of one request, from its arrival to the end of its response.
 
 use std::rc::Rc;
 
@@ -23,33 +23,34 @@
     request::RequestMetadata, //
 };
 
-/// What a route says about a request, as it is told to another region.
+/// Parameters of a route for one request, also sent to the host of another
+/// region that serves the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResolvedRoute {
     /// Name of the route.
     pub name: CompactString,
-    /// Service.
+    /// Name of the service that serves the request.
     pub service: CompactString,
-    /// The answer is a series of events.
+    /// The response is a stream of server-sent events.
     pub is_stream: bool,
-    /// The request may run again.
+    /// The request may run more than once.
     pub is_idempotent: bool,
-    /// Another endpoint may continue the stream.
+    /// Another endpoint may continue an interrupted stream.
     pub is_resumable: bool,
-    /// Time within which an answer is on time.
+    /// Latency goal of the response.
     pub goal_ms: u64,
-    /// Time after which the route gives up.
+    /// Time limit of the request.
     pub timeout_ms: u64,
-    /// Most endpoints that may run the request.
+    /// Maximum number of endpoints that may run the request.
     pub max_attempts: u32,
-    /// Rank, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Regions that may serve it; any region if empty.
+    /// Regions that may serve the request; any region if empty.
     pub homes: Vec<CompactString>,
 }
 
 impl ResolvedRoute {
-    /// The plan for a request on `route` that goes to `service`.
+    /// Returns the parameters for a request on `route` that `service` serves.
     pub fn new(route: &Route, service: CompactString) -> Self {
         Self {
             name: route.name.clone(),
@@ -65,160 +66,164 @@
         }
     }
 
-    /// The plan as text for a header.
+    /// Encodes the parameters as the value of a header.
+    ///
+    /// # Errors
+    ///
+    /// Fails if they cannot be serialised.
     pub fn encode(&self) -> Result<String, postcard::Error> {
         Ok(STANDARD.encode(postcard::to_allocvec(self)?))
     }
 
-    /// Reads what [`Plan::encode`] wrote; none if it is anything else.
+    /// Decodes a value written by [`Self::encode`]; none if it is malformed.
     pub fn decode(text: &str) -> Option<Self> {
         let bytes = STANDARD.decode(text).ok()?;
         postcard::from_bytes(&bytes).ok()
     }
 
-    /// Whether the request may run more than once.
+    /// Returns whether a request that may have run may be sent again.
     pub fn is_retryable(&self) -> bool {
         self.is_idempotent || self.is_resumable
     }
 
-    /// Whether the request, once sent, goes on when its caller has left: it has
-    /// an effect that is not to be broken off midway.
+    /// Returns whether a request that was sent continues after its caller has
+    /// disconnected: it may have a side effect, which is not to be interrupted.
     pub fn runs_without_caller(&self) -> bool {
         !self.is_stream && !self.is_idempotent
     }
 
-    /// Whether a region may serve the request.
+    /// Returns whether a region may serve the request.
     pub fn allows_region(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.iter().any(|home| home == region)
     }
 }
 
-/// A request as the caller sent it.
+/// A request as received from the caller.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Head.
+    /// Parsed head.
     pub head: RequestHead,
-    /// What the head says about the call.
+    /// Metadata decoded from the head.
     pub metadata: RequestMetadata,
-    /// Body without transfer coding.
+    /// Body with the transfer coding removed.
     pub body: Vec<u8>,
 }
 
-/// Where a request was sent.
+/// Destination of a dispatch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Destination {
     /// An endpoint of this region.
     Endpoint(Choice),
     /// A host of another region.
     Region {
-        /// The region.
+        /// Name of the region.
         region: CompactString,
-        /// The host.
+        /// Name of the host.
         host: CompactString,
     },
 }
 
-/// A request at an endpoint or in another region.
+/// One sending of a request to an endpoint or to another region.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
-    /// Where it was sent.
+    /// Endpoint or region that it was sent to.
     pub destination: Destination,
-    /// Connection.
+    /// Key of the upstream connection.
     pub upstream: usize,
     /// When it was sent.
     pub sent_ms: u64,
-    /// The first event or the answer has begun.
+    /// The first event, or a response that is not a stream, has arrived.
     pub has_begun: bool,
-    /// The head of the answer is that of a success of the endpoint.
+    /// The response head is a success signed by the endpoint.
     pub is_success: bool,
-    /// Last time at which content arrived.
+    /// Time at which response data last arrived.
     pub progress_ms: u64,
 }
 
-/// What decided the latest placing of a request, for its log line.
+/// Inputs of the latest placement of a request, for its log line.
 #[derive(Debug, Clone)]
 pub struct PlacementRecord {
-    /// Name of the endpoint, or of the region and host.
+    /// Id of the endpoint, or names of the region and host.
     pub destination: CompactString,
-    /// Predicted time from then to the first event.
+    /// Predicted time from sending to the first event.
     pub predicted_ms: u64,
-    /// Predicted part of it in which other requests come first.
+    /// Part of the predicted time spent on requests ahead of this one.
     pub backlog_ms: u64,
-    /// Prompt tokens that were not expected in the endpoint's cache.
+    /// Prompt tokens not expected to be in the endpoint's cache.
     pub uncached_tokens: u64,
     /// When it was sent.
     pub sent_ms: u64,
 }
 
-/// What decided the refusal of a request, for its log line.
+/// Inputs of the refusal of a request, for its log line.
 #[derive(Debug, Clone, Copy)]
 pub struct RefusalRecord {
-    /// Predicted time to the first event in this region, its queue included;
-    /// none if no endpoint could be used.
+    /// Predicted time to the first event in this region, including the queue;
+    /// none if no endpoint was usable.
     pub here_ms: Option<u64>,
-    /// Part of it that requests take which wait here already.
+    /// Part of the predicted time spent on requests already queued here.
     pub queue_ms: u64,
-    /// Predicted time in the best other region, if one was known.
+    /// Predicted time to the first event in the best other region, if any.
     pub away_ms: Option<u64>,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_ms: u64,
 }
 
 /// A request of a caller.
 #[derive(Debug)]
 pub struct Exchange {
-    /// Number that no other exchange of this process has.
+    /// Serial number, unique within the process.
     pub serial: u64,
-    /// Connection of the caller; none if the caller has left.
+    /// Key of the caller's connection; none once the caller has disconnected.
     pub client: Option<usize>,
     /// The request was forwarded by a host of another region.
     pub is_forwarded: bool,
-    /// The request; shared so that it can be written while the exchange changes.
+    /// The request, shared so that it can be read while the exchange is modified.
     pub request: Rc<CallerRequest>,
-    /// What its route says.
+    /// Parameters of its route.
     pub route: ResolvedRoute,
-    /// Version of the configuration that gave the plan.
+    /// Version of the configuration that the route comes from.
     pub configuration_version: u64,
-    /// When the request had arrived completely.
+    /// Time at which the request had been received completely.
     pub arrived_ms: u64,
-    /// When an answer is late.
+    /// Time after which the response misses its latency goal.
     pub goal_at_ms: u64,
-    /// When the caller or the route gives up.
+    /// Time at which the caller's or the route's time limit ends.
     pub deadline_ms: u64,
-    /// Endpoints that may have run the request.
+    /// Number of endpoints that may have run the request.
     pub run_count: u32,
     /// Endpoints that are not tried again.
     pub excluded_endpoints: Vec<CompactString>,
-    /// Endpoints that failed, and are tried again only if there is no other.
+    /// Endpoints that failed; they are tried again only if there is no other.
     pub avoided_endpoints: Vec<CompactString>,
     /// Regions that are not tried again.
     pub excluded_regions: Vec<CompactString>,
     /// The request waits for an endpoint.
     pub is_waiting: bool,
-    /// Where the request is.
+    /// Dispatch in progress.
     pub dispatch: Option<Dispatch>,
-    /// How the latest placing was decided.
+    /// Inputs of the latest placement.
     pub placement: Option<PlacementRecord>,
-    /// What decided a refusal.
+    /// Inputs of the refusal, if the request was refused.
     pub refusal: Option<RefusalRecord>,
-    /// When the first event, or the answer, had arrived.
+    /// Time at which the first event, or the response, had arrived.
     pub first_event_at_ms: Option<u64>,
-    /// The head and perhaps some content of the answer reached the caller.
+    /// The response head has been written to the caller.
     pub has_response_begun: bool,
-    /// Events passed on, for streams that another endpoint may continue.
+    /// Events relayed, for streams that another endpoint may continue.
     pub events: EventSplitter,
-    /// Answer or part of it that has not been passed on.
+    /// Response body, or part of it, that has not been relayed.
     pub buffered: Vec<u8>,
 }
 
 impl Exchange {
-    /// Event after which an endpoint has to go on.
+    /// Returns the id of the event after which an endpoint has to continue.
     pub fn resume_after(&self) -> Option<CompactString> {
         let passed_on = self.events.last_id().cloned();
         passed_on.or_else(|| self.request.metadata.last_event_id.clone())
     }
 
-    /// Where the request is.
+    /// Returns the destination of the dispatch in progress.
     pub fn destination(&self) -> Option<&Destination> {
         self.dispatch.as_ref().map(|dispatch| &dispatch.destination)
     }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! The `gateway` command: starts the threads of a host and waits for its end.
+//! The `gateway` command: starts the threads of a host and waits for shutdown.
 
 use std::{
     net::SocketAddr,
@@ -50,17 +50,22 @@
 };
 use crate::logs;
 
-/// Updates that wait for the reactor: a whole region of endpoints at once.
+/// Capacity of the reactor's update queue: all endpoints of a region at once.
 const UPDATE_QUEUE_LEN: usize = 1_024;
-/// Exit code when requests were cut off at the end.
+/// Exit code if requests were cut off at shutdown.
 const EXIT_CUT_OFF: u8 = 3;
-/// Interval at which the settings file is compared with what was read from it.
-/// It may change without a signal, and no bound of the platform hangs on it.
+/// Interval at which the settings file is checked for changes. It may change
+/// without a signal, and the platform sets no limit on the delay.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest wait for the end of the host's lease at shutdown.
+/// Maximum wait for the end of the host's lease at shutdown.
 const DEREGISTER_LIMIT: Duration = Duration::from_millis(300);
 
-/// Runs a host with the settings in `path` until it is asked to stop.
+/// Runs a host with the settings in `path` until it receives a stop signal.
+///
+/// # Errors
+///
+/// Fails if the settings are invalid, a socket or thread cannot be created, or
+/// the reactor fails.
 pub fn run(path: &Path) -> anyhow::Result<ExitCode> {
     let settings = GatewaySettings::load(path)?;
     let (_log_thread, dropped_lines) = logs::init_json(&settings.log_filter)?;
@@ -68,7 +73,7 @@
     let (sender, updates) = bounded(UPDATE_QUEUE_LEN);
     let reread: PathBuf = path.to_path_buf();
     let mut reactor = Reactor::new(settings.clone(), updates, telemetry)
-        .context("could not open the sockets")?
+        .context("could not open the listening sockets")?
         .with_reload(Box::new(move || reload(&reread)));
     let updates = UpdateSender::new(sender, reactor.waker()?);
     let replica = StoreReplica::new(updates.clone());
@@ -101,7 +106,7 @@
 
     is_stopping.store(true, Ordering::Relaxed);
     if deregistered.recv_timeout(DEREGISTER_LIMIT).is_err() {
-        tracing::warn!("the host's lease was not ended; it lapses by itself");
+        tracing::warn!("lease of the host was not ended in time; it expires by itself");
     }
     tracing::info!(
         host = %settings.host.name,
@@ -118,7 +123,7 @@
     match GatewaySettings::load(path) {
         Ok(settings) => Some(settings),
         Err(error) => {
-            tracing::error!(%error, "settings were not reloaded; the earlier ones stay in force");
+            tracing::error!(%error, "settings were not reloaded; the previous ones stay in effect");
             None
         }
     }
@@ -161,7 +166,7 @@
     Ok(())
 }
 
-/// Reads the settings again when their file has changed.
+/// Starts the thread that requests a reload when the settings file has changed.
 fn spawn_settings_watch(path: &Path, updates: UpdateSender) -> anyhow::Result<()> {
     let path = path.to_path_buf();
     let mut known = std::fs::read(&path)?;
@@ -173,7 +178,7 @@
                 let content = match std::fs::read(&path) {
                     Ok(content) => content,
                     Err(error) => {
-                        tracing::warn!(%error, "settings file cannot be read");
+                        tracing::warn!(%error, "could not read the settings file; the previous settings stay in effect");
                         continue;
                     }
                 };
@@ -203,7 +208,7 @@
                     continue;
                 }
                 updates.send(Update::Stop);
-                // A second signal finds the message already there.
+                // After a second signal, the message is already queued.
                 let _ = stop.try_send(());
             }
         })?;
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -1,7 +1,7 @@
-//! Counters, latency histograms and the line that ends each request.
+//! Counters, latency histograms and the log line at the end of each request.
 //!
-//! Lines about failed requests are limited to [`FAILURE_LINES_PER_S`] and lines
-//! about answered ones to [`ROUTINE_LINES_PER_S`]; what is left out is counted.
+//! Log lines are limited to [`FAILURE_LINES_PER_S`] for failed requests and to
+//! [`ROUTINE_LINES_PER_S`] for successful ones; omitted lines are counted.
 
 use prometheus_client::{
     encoding::{
@@ -21,15 +21,15 @@
 
 use super::exchange::Exchange;
 
-/// Lines a second about requests that were answered by an endpoint.
+/// Log lines per second for requests that ended with success.
 const ROUTINE_LINES_PER_S: u32 = 10;
-/// Lines a second about all other requests.
+/// Log lines per second for all other requests.
 const FAILURE_LINES_PER_S: u32 = 50;
-/// Upper bounds of the histograms, in seconds: goals and time limits of callers
-/// lie between a tenth of a second and some tens of seconds.
+/// Upper bounds of the histogram buckets. Goals and time limits of callers lie
+/// between a tenth of a second and some tens of seconds.
 const BUCKETS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
-/// How requests ended.
+/// Labels of the request counter.
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct OutcomeLabels {
     outcome: &'static str,
@@ -59,7 +59,7 @@
 }
 
 impl Telemetry {
-    /// Metrics at zero.
+    /// Returns metrics at zero.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("cardamombridge");
         let telemetry = Self {
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Reports the lines that the log thread drops.
+    /// Sets the counter of lines that the log thread drops, for a metric.
     pub fn with_log_drop_counter(mut self, counter: ErrorCounter) -> Self {
         self.log_drop_counter = Some(counter);
         self
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let dropped = self
             .log_drop_counter
@@ -138,7 +138,7 @@
             .set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            tracing::warn!(%error, "could not encode the metrics");
+            tracing::warn!(%error, "could not encode the metrics; the scrape is incomplete");
         }
         text
     }
@@ -158,12 +158,12 @@
         self.remote.inc();
     }
 
-    /// Records the time until the first event or the answer.
+    /// Records the time until the first event or the response.
     pub fn observe_first_event(&self, after_ms: u64) {
         self.first_event_s.observe(after_ms as f64 / 1_000.0);
     }
 
-    /// Records the end of a request and writes its line.
+    /// Records the end of a request and writes its log line, within the limits.
     pub fn request_ended(
         &mut self,
         exchange: &Exchange,
