--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,11 @@
-//! The gateway for HTTP requests of the users' platform.
+//! Gateway for the HTTP requests of the platform's callers.
 //!
-//! A host accepts requests, finds their route in the operators' configuration,
-//! and sends each to an endpoint of its own region or, once, to a host of
-//! another region. The decisions ([`admission`], [`fleet`], [`retry_budget`],
-//! [`hosts`]) open no socket and read no clock. [`reactor`] carries them out.
-//! Names of the platform stand only in [`crate::platform`].
+//! A host accepts requests, looks up their route in the operators'
+//! configuration, and sends each to an endpoint of its own region or, once, to a
+//! host of another region. The decision modules ([`admission`], [`fleet`],
+//! [`retry_budget`], [`hosts`]) do no I/O and read no clock; [`reactor`] carries
+//! out their decisions. Names that the platform defines occur only in
+//! [`crate::platform`].
 
 pub mod admission;
 pub mod body;
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -1,8 +1,9 @@
-//! The thread that serves all connections of a host.
+//! Event loop of the thread that serves all connections of a host.
 //!
-//! One thread owns every connection and every decision, so that no lock is held
-//! and no request waits for another thread. Store, logs and signals have
-//! threads of their own and reach this one through a bounded channel.
+//! A single thread owns all connections and makes all decisions, so that it
+//! takes no lock and no request waits for another thread. The store, logs and
+//! signals have threads of their own, which send to this one through a bounded
+//! channel.
 
 use std::{
     collections::{
@@ -79,33 +80,33 @@
 
 const WAKER: Token = Token(0);
 const BEACONS: Token = Token(1);
-/// Tokens below this one belong to listeners and fixed sockets.
+/// First token of a connection; lower ones belong to listeners and fixed sockets.
 const FIRST_CONNECTION: usize = 16;
 const FIRST_LISTENER: usize = 2;
-/// Interval of timers while requests are in progress.
+/// Maximum interval between timer checks while requests are in progress.
 const BUSY_TICK: Duration = Duration::from_millis(15);
-/// Interval of timers otherwise.
+/// Maximum interval between timer checks otherwise.
 const QUIET_TICK: Duration = Duration::from_millis(100);
-/// Interval at which connections are checked for time limits.
+/// Interval at which connections are checked for timeouts.
 const SWEEP_MS: u64 = 250;
-/// Pause between the end of the last request and the end of the process, in
-/// which callers that hold an older directory answer still reach the host.
+/// Minimum time between the stop signal and the end of the process, in which
+/// callers with a cached directory response still reach the host.
 const MIN_SHUTDOWN_MS: u64 = 4_200;
-/// Time after the signal to stop from which new requests are refused. The
-/// platform excuses the end of requests that arrive up to three seconds after
-/// it, and callers have asked the directory again by then.
+/// Time after the stop signal from which new requests are refused. The platform
+/// tolerates the failure of requests that arrive up to three seconds after the
+/// signal, and callers have queried the directory again by then.
 const REFUSE_AFTER_MS: u64 = 2_700;
-/// Time before the forced end at which the process ends by itself.
+/// Time before the platform kills the process at which it exits by itself.
 const END_BEFORE_KILL_MS: u64 = 500;
 
 /// How the reactor ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReactorExit {
-    /// Requests that were cut off.
+    /// Number of requests that were cut off.
     pub cut_off_count: usize,
 }
 
-/// All state of the serving thread.
+/// State of the serving thread.
 pub struct Reactor {
     pub(super) poll: Poll,
     listeners: Vec<(TcpListener, Role)>,
@@ -114,15 +115,15 @@
     pub(super) clients: Slab<Client>,
     pub(super) upstreams: Slab<Upstream>,
     pub(super) exchanges: Slab<Exchange>,
-    /// Idle connections by address, the latest last.
+    /// Keys of idle upstream connections by address, the most recently used last.
     pub(super) idle: HashMap<SocketAddr, Vec<usize>>,
-    /// Requests that wait for an endpoint.
+    /// Keys of the exchanges that wait for an endpoint.
     pub(super) waiting: Vec<usize>,
     pub(super) settings: GatewaySettings,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) fleet: Fleet,
     pub(super) hosts: Hosts,
-    /// What `hosts` says about the own region, renewed with the shares.
+    /// View of this region from `hosts`, updated together with the peer loads.
     pub(super) region_view: RegionView,
     pub(super) budget: RetryBudget,
     pub(super) telemetry: Telemetry,
@@ -137,26 +138,30 @@
     pub(super) is_synchronised: bool,
     pub(super) shutdown_started_ms: Option<u64>,
     pub(super) reload: Option<Box<dyn Fn() -> Option<GatewaySettings>>>,
-    /// What the host believes, to tell other hosts.
+    /// Local copy of the store's items, also served to other hosts.
     pub(super) replica: Option<StoreReplica>,
-    /// Hosts to ask because they know more.
+    /// Requests to fetch store changes from the host at an address.
     pub(super) resync_requests: Option<Sender<SocketAddr>>,
-    /// When the host fell behind, and the revision it knew.
+    /// Time at which this host fell behind another one, and its revision then.
     pub(super) lag_since: Option<(u64, u64)>,
-    /// When the store was regained; none while it does not answer.
+    /// Time at which the store became reachable; none while it is unreachable.
     pub(super) store_recovered_ms: Option<u64>,
     pub(super) next_resync_ms: u64,
-    /// Beacons arrived since the last sum over what other hosts told.
+    /// Loads of other hosts have arrived since the last update of the peer loads.
     pub(super) has_new_shares: bool,
     pub(super) next_share_update_ms: u64,
     pub(super) pending_update: PendingUpdate,
-    /// Live hosts of the region, for the thread that follows the store.
+    /// Number of live hosts in the region, for the thread that follows the store.
     host_count: Arc<AtomicU64>,
     next_sweep_ms: u64,
 }
 
 impl Reactor {
-    /// Opens the sockets; updates arrive through `updates`.
+    /// Opens the sockets of a reactor that receives updates from `updates`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket cannot be bound or registered.
     pub fn new(
         settings: GatewaySettings,
         updates: Receiver<Update>,
@@ -236,34 +241,43 @@
         })
     }
 
-    /// A waker for the threads that send updates.
+    /// Creates a waker for the threads that send updates.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the waker cannot be registered.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
         Waker::new(self.poll.registry(), WAKER).map(Arc::new)
     }
 
-    /// Number of live hosts in the region, kept up to date.
+    /// Returns the number of live hosts in the region, updated continuously.
     pub fn host_count(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.host_count)
     }
 
-    /// Sets what reads the settings again.
+    /// Sets the function that reads the settings again.
     pub fn with_reload(mut self, reload: Box<dyn Fn() -> Option<GatewaySettings>>) -> Self {
         self.reload = Some(reload);
         self
     }
 
-    /// Sets what the host believes and where it asks others for more.
+    /// Sets the store replica and the channel for requests to fetch changes from
+    /// other hosts.
     pub fn set_replica(&mut self, replica: StoreReplica, resync_requests: Sender<SocketAddr>) {
         self.replica = Some(replica);
         self.resync_requests = Some(resync_requests);
     }
 
-    /// Steady time since the start of the reactor.
+    /// Returns the monotonic time since the start of the reactor.
     pub(super) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Serves until the process has to end.
+    /// Serves until the host has shut down.
+    ///
+    /// # Errors
+    ///
+    /// Fails if polling for events fails.
     pub fn run(&mut self) -> io::Result<ReactorExit> {
         let mut events = Events::with_capacity(256);
         loop {
@@ -315,7 +329,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    tracing::warn!(%error, "could not accept a connection");
+                    tracing::warn!(%error, "could not accept a connection; the listener continues");
                     return;
                 }
             }
@@ -331,7 +345,7 @@
         }
     }
 
-    /// Opens a connection to an endpoint or a host; none if that fails at once.
+    /// Starts to connect to an endpoint or host; none if that fails immediately.
     pub(super) fn connect(&mut self, address: SocketAddr) -> Option<usize> {
         let now_ms = self.now_ms();
         let stream = match TcpStream::connect(address) {
@@ -372,7 +386,7 @@
         }
     }
 
-    /// Closes connections that are idle for too long.
+    /// Closes connections that have been idle for too long.
     fn sweep(&mut self, now_ms: u64) {
         self.sweep_clients(now_ms);
         self.fleet.drop_withdrawn(now_ms);
@@ -391,7 +405,7 @@
         self.host_count.store(host_count, Ordering::Relaxed);
     }
 
-    /// Whether new requests are refused because the process ends soon.
+    /// Returns whether new requests are refused because the process ends soon.
     pub(super) fn is_refusing_new(&self, now_ms: u64) -> bool {
         self.shutdown_started_ms
             .is_some_and(|started_ms| now_ms >= started_ms + REFUSE_AFTER_MS)
@@ -412,24 +426,24 @@
         })
     }
 
-    /// A random number in `0.0..1.0`.
+    /// Returns a random number in `0.0..1.0`.
     pub(super) fn draw(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// A random index below `count`.
+    /// Returns a random index below `count`.
     pub(super) fn draw_index(&mut self, count: usize) -> usize {
         (self.random.next_u64() % count.max(1) as u64) as usize
     }
 }
 
-/// Registers a connection for both directions; false if that fails.
+/// Registers a connection for reading and writing; false if that fails.
 fn register(poll: &Poll, stream: &mut TcpStream, token: Token) -> bool {
     let interest = Interest::READABLE | Interest::WRITABLE;
     match poll.registry().register(stream, token, interest) {
         Ok(()) => true,
         Err(error) => {
-            tracing::warn!(%error, "could not register a connection");
+            tracing::warn!(%error, "could not register a connection for polling; it is closed");
             false
         }
     }
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_client.rs
@@ -39,16 +39,17 @@
     encode_directory_answer, //
 };
 
-/// How long callers may use a directory answer. Short, so that hosts that leave
-/// get no new callers, and long enough that asking costs little.
+/// How long callers may cache a directory response: short, so that leaving hosts
+/// receive no new callers, and long enough that queries are cheap.
 const DIRECTORY_TTL_S: u32 = 2;
-/// When a caller may come back to a host that knows no configuration yet.
+/// Retry time for callers of a host that has no configuration yet.
 const NOT_READY_RETRY_MS: u64 = 500;
-/// When a caller may come back to a host that ends; others take it at once.
+/// Retry time for callers of a host that shuts down; other hosts can serve the
+/// request immediately.
 const LEAVING_RETRY_MS: u64 = 50;
-/// Output beyond which the answer of an endpoint is not read further.
+/// Pending output to a caller beyond which reading from the endpoint is paused.
 pub const MAX_OUTPUT_BYTES: usize = 512 * 1024;
-/// Input that is kept while a request is in progress.
+/// Maximum buffered input of a client while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 256 * 1024;
 
 impl Reactor {
@@ -86,7 +87,7 @@
         self.read_requests(key);
     }
 
-    /// Reads requests from the input until one is in progress.
+    /// Processes requests in the input until one is in progress.
     pub(super) fn read_requests(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let limits = self.limits();
@@ -110,7 +111,7 @@
                     return;
                 }
                 Err(status) => {
-                    tracing::info!(status, "request refused because of its form");
+                    tracing::info!(status, "request rejected: malformed or above a limit");
                     self.respond_and_close(key, GatewayResponse::new(status));
                     return;
                 }
@@ -133,7 +134,7 @@
         }
         match client.role {
             Role::Caller => self.route_request(key, head, body, None),
-            Role::Peer if head.path() == CHANGES_PATH => self.answer_news(key, head.query()),
+            Role::Peer if head.path() == CHANGES_PATH => self.handle_changes(key, head.query()),
             Role::Peer => match head.header(FORWARD_HEADER).and_then(ResolvedRoute::decode) {
                 Some(route) => self.route_request(key, head, body, Some(route)),
                 None => self.respond(key, GatewayResponse::new(400)),
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Starts an exchange for a request of a caller, or of another host that
-    /// has already planned it.
+    /// Starts an exchange for a request of a caller, or for a forwarded request
+    /// whose route another host has resolved.
     fn route_request(
         &mut self,
         key: usize,
@@ -230,7 +231,7 @@
         self.respond_with_body(key, GatewayResponse::new(200), "application/json", &body);
     }
 
-    /// Whether the host takes requests.
+    /// Returns whether the host accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.is_synchronised && self.shutdown_started_ms.is_none()
     }
@@ -244,18 +245,18 @@
         self.respond(key, GatewayResponse::new(status));
     }
 
-    fn answer_news(&mut self, key: usize, query: &str) {
-        let news = self
+    fn handle_changes(&mut self, key: usize, query: &str) {
+        let changes = self
             .replica
             .as_ref()
             .map(|replica| encode_changes(replica, query));
-        match news {
+        match changes {
             Some(Ok(bytes)) => {
                 let response = GatewayResponse::new(200);
                 self.respond_with_body(key, response, "application/octet-stream", &bytes);
             }
             Some(Err(error)) => {
-                tracing::error!(%error, "could not encode the news");
+                tracing::error!(%error, "could not encode the store changes for another host; answered with 500");
                 self.respond(key, GatewayResponse::new(500));
             }
             None => self.respond(key, GatewayResponse::new(503)),
@@ -272,7 +273,7 @@
         );
     }
 
-    /// Answers on a connection without an exchange.
+    /// Writes a response without a body on a connection without an exchange.
     pub(super) fn respond(&mut self, key: usize, response: GatewayResponse) {
         self.respond_with_body(key, response, "text/plain", b"");
     }
@@ -307,7 +308,7 @@
         self.flush_client(key);
     }
 
-    /// Writes the output; ends the connection if it is broken or done.
+    /// Writes pending output; closes the connection if it is broken or finished.
     pub(super) fn flush_client(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -325,7 +326,7 @@
         }
     }
 
-    /// The exchange on this connection has ended with a complete answer.
+    /// Continues with the next request after the exchange on a connection has ended.
     pub(super) fn client_done(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(client) = self.clients.get_mut(key) else {
@@ -342,16 +343,17 @@
         }
     }
 
-    /// Closes a connection whose output is written.
+    /// Closes a client connection without affecting its exchange.
     pub(super) fn close_client(&mut self, key: usize) {
         let Some(mut client) = self.clients.try_remove(key) else {
             return;
         };
-        // Deregistration also happens when the socket is closed.
+        // Closing the socket deregisters it in any case.
         let _ = self.poll.registry().deregister(&mut client.socket.stream);
     }
 
-    /// Ends a connection; its caller has left or gets no complete answer.
+    /// Closes a connection that failed or whose caller disconnected, and ends its
+    /// exchange.
     pub(super) fn drop_client(&mut self, key: usize) {
         let exchange = self.clients.get(key).and_then(|client| client.exchange);
         self.close_client(key);
@@ -386,15 +388,17 @@
             self.close_client(key);
         }
         for key in late {
-            tracing::info!("request was not complete in time");
+            tracing::info!("request timed out before it was received completely");
             self.respond_and_close(key, GatewayResponse::new(408));
         }
     }
 }
 
-/// Reads a request from a connection's input; none if it is incomplete.
+/// Parses a request from a connection's input; none if it is incomplete.
 ///
-/// The error is the status of the answer.
+/// # Errors
+///
+/// Fails with the status code of the response.
 fn read_request(
     client: &mut Client,
     limits: &CallerLimits,
