--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -1,8 +1,8 @@
-//! The end of a sending and of a request: failures, repeats, refusals, limits.
+//! The end of dispatches and requests: failures, retries, refusals, time limits.
 //!
-//! A request that may not run twice goes to another endpoint only if nothing of
-//! it was sent, or if the endpoint says that it did not run it. Only code that
-//! holds the unsent request tells a caller that it has not run.
+//! A request that must not run twice is sent to another endpoint only if nothing
+//! of it was sent, or if the endpoint states that it did not run it. A caller is
+//! informed that a request has not run only by code that has the unsent request.
 
 use super::{
     endpoint::Failure,
@@ -18,21 +18,23 @@
     serve_upstream::UpstreamError, //
 };
 
-/// Endpoints tried for one request that none of them has run. Those that are
-/// gone say so within milliseconds.
+/// Maximum number of endpoints tried for a request that none of them runs.
+/// Endpoints that no longer exist refuse connections within milliseconds.
 pub(super) const MAX_EXCLUDED_ENDPOINTS: usize = 8;
-/// When a caller may come back after a failure to reach any endpoint.
+/// Retry time for callers if no endpoint could be reached.
 pub(super) const UNREACHABLE_RETRY_MS: u64 = 300;
-/// Least time without progress after which a request that may run again is
-/// sent to another endpoint.
+/// Minimum time without progress after which a retryable request is sent to
+/// another endpoint.
 const MIN_STALL_MS: u64 = 1_200;
-/// The same for a request in another region, which is predicted less well.
+/// Like [`MIN_STALL_MS`], for another region, whose latency is predicted less
+/// accurately.
 const REMOTE_STALL_MS: u64 = 2_500;
-/// Factor on the predicted time until the first event for the same purpose.
+/// Multiple of the predicted time to the first event after which the request
+/// counts as stalled.
 const STALL_FACTOR: f64 = 4.0;
 
 impl Reactor {
-    /// The connection of a sending broke.
+    /// Handles a dispatch that failed before its response was complete.
     pub(super) fn dispatch_failed(&mut self, key: usize, error: UpstreamError) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Prefers other endpoints for the next sending of a request.
+    /// Marks the current endpoint as one to avoid in the next placement.
     pub(super) fn avoid_destination(&mut self, key: usize) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Sends a request that may have run to another endpoint, if it may run
-    /// again and the budget allows it.
+    /// Sends a request that may have run to another endpoint, if it is retryable
+    /// and the retry budget allows it; returns whether it did.
     pub(super) fn try_retry(&mut self, key: usize, cause: &str) -> bool {
         let now_ms = self.now_ms();
         let hosts = self.hosts.live_count(now_ms);
@@ -108,7 +110,7 @@
         let service = exchange.route.service.clone();
         let attempt = exchange.request.metadata.attempt_id.clone();
         let is_allowed = self.budget.take(&service, hosts, now_ms);
-        tracing::info!(request = %attempt, cause, is_allowed, "repeat decided");
+        tracing::info!(request = %attempt, cause, is_allowed, "retry decided");
         if is_allowed {
             self.telemetry.count_retry();
             self.exchanges[key].buffered.clear();
@@ -117,7 +119,7 @@
         is_allowed
     }
 
-    /// Ends the present sending of a request and records how it went.
+    /// Ends the current dispatch of a request and records its result.
     pub(super) fn end_dispatch(&mut self, key: usize, failure: Option<Failure>, now_ms: u64) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
@@ -149,7 +151,7 @@
                     endpoint = %choice.endpoint,
                     ?failure,
                     for_ms,
-                    "endpoint is not used for a while"
+                    "endpoint failed; it is not used for a while"
                 );
                 if matches!(failure, Some(Failure::Unreachable | Failure::Replaced)) {
                     self.pending_update.record_block(endpoint.hash, for_ms);
@@ -163,7 +165,7 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        // Something of it may have run, so nothing can be promised.
+        // An endpoint may have run it, so the response must not say otherwise.
         if exchange.run_count > 0 {
             if exchange.has_response_begun {
                 return self.cut_off(key, cause);
@@ -173,7 +175,7 @@
         self.fail(key, cause, GatewayResponse::refusal(retry_ms));
     }
 
-    /// Ends a request with an answer of the gateway itself.
+    /// Ends a request with a response of the gateway itself.
     pub(super) fn fail(&mut self, key: usize, cause: &'static str, response: GatewayResponse) {
         let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get(key) else {
@@ -196,8 +198,8 @@
         self.end_exchange(key, cause, response.status);
     }
 
-    /// Ends an answer that has begun and cannot be completed: its connection
-    /// ends without the end of the body.
+    /// Aborts a response that has begun and cannot be completed: the connection
+    /// is closed without the end of the body.
     pub(super) fn cut_off(&mut self, key: usize, cause: &'static str) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
@@ -227,7 +229,7 @@
         }
     }
 
-    /// The caller has left.
+    /// Handles the disconnection of a caller.
     pub(super) fn caller_disconnected(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -245,7 +247,7 @@
         self.end_exchange(key, "caller left", 0);
     }
 
-    /// Ends requests whose time is over and repeats those that stall.
+    /// Ends requests whose deadline has passed and retries stalled ones.
     pub(super) fn check_exchanges(&mut self, now_ms: u64) {
         if self.exchanges.is_empty() {
             return;
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Gives up on an endpoint that makes no progress, if another may go on.
+    /// Sends a stalled request to another endpoint, if the retry budget allows it.
     pub(super) fn retry_stalled(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let hosts = self.hosts.live_count(now_ms);
@@ -305,7 +307,7 @@
         tracing::info!(
             request = %exchange.request.metadata.attempt_id,
             silent_ms = now_ms.saturating_sub(dispatch.progress_ms),
-            "endpoint stalls; request repeated"
+            "endpoint stalled; request is sent to another one"
         );
         exchange.buffered.clear();
         exchange.events.discard_partial();
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -33,7 +33,7 @@
     is_relayed, //
 };
 
-/// Weight of a new observation in the round trip to another region.
+/// Weight of a new sample in the moving average of a round trip.
 const ROUND_TRIP_LEARN_WEIGHT: f64 = 0.2;
 
 impl Reactor {
@@ -88,15 +88,15 @@
             return;
         };
         let mut route = exchange.route.clone();
-        // Repeats are decided here alone, so that two regions cannot both use
-        // up the attempts.
+        // Retries are decided in this region alone, so that two regions cannot
+        // both use up the attempts.
         route.max_attempts = 1;
         route.goal_ms = exchange.goal_at_ms.saturating_sub(now_ms);
         route.timeout_ms = exchange.deadline_ms.saturating_sub(now_ms);
         let encoded = match route.encode() {
             Ok(encoded) => encoded,
             Err(error) => {
-                tracing::error!(%error, "could not encode a plan");
+                tracing::error!(%error, "could not encode the route of a forwarded request; request is refused");
                 return self.refuse(key, "plan could not be encoded", UNREACHABLE_RETRY_MS);
             }
         };
@@ -137,7 +137,7 @@
         self.send(key, host.peer_address, destination, &headers, Some(encoded));
     }
 
-    /// The event after which the next endpoint goes on, if the stream resumes.
+    /// Returns the id of the event after which the next endpoint has to continue.
     pub(super) fn resume_header(&self, key: usize) -> Option<CompactString> {
         let exchange = self.exchanges.get(key)?;
         exchange.resume_after()
@@ -198,7 +198,7 @@
         connection.socket.queue(&bytes);
         if connection.phase == UpstreamPhase::Idle {
             connection.phase = UpstreamPhase::Busy;
-            // A failed write shows as a failed read.
+            // A write error also shows up as a read error.
             connection.socket.flush();
         }
     }
@@ -234,7 +234,7 @@
         bytes
     }
 
-    /// A connection for an exchange has been made.
+    /// Updates the round trip to a region with the time a connection took.
     pub(super) fn record_connected(&mut self, exchange: Option<usize>, connect_ms: u64) {
         let dispatch = exchange
             .and_then(|exchange| self.exchanges.get(exchange))
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -1,7 +1,7 @@
-//! Where a request goes: to an endpoint, to another region, or into the queue.
+//! Placement of requests: on an endpoint, in another region, or in the queue.
 //!
-//! The decision itself is [`place`]; here its inputs are gathered and its outcome
-//! is carried out.
+//! [`place`] makes the decision; this module gathers its inputs and carries out
+//! the result.
 
 use std::rc::Rc;
 
@@ -27,13 +27,13 @@
     reactor::Reactor, //
 };
 
-/// Time limit of a request that states none.
+/// Time limit of requests that specify none.
 const DEFAULT_TIME_LIMIT_MS: u64 = 30_000;
-/// Round trip to another region before one was measured.
+/// Assumed round trip to another region before it has been measured.
 const DEFAULT_ROUND_TRIP_MS: f64 = 150.0;
-/// Age beyond which another region's load is not believed: several beacons.
+/// Age beyond which another region's load is ignored; several beacon intervals.
 const MAX_REMOTE_LOAD_AGE_MS: u64 = 2_500;
-/// Placements tried in one pass over the waiting requests of a service.
+/// Maximum placements per service in one pass over the waiting requests.
 const MAX_PLACEMENTS: usize = 24;
 
 impl Reactor {
@@ -82,7 +82,7 @@
         self.place_exchange(key);
     }
 
-    /// Decides where a request goes now.
+    /// Decides where a request goes and sends, queues or refuses it.
     pub(super) fn place_exchange(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(situation) = self.situation(key, now_ms) else {
@@ -162,7 +162,7 @@
         })
     }
 
-    /// The service with this name, or one of which only the name is known.
+    /// Returns the service with this name, or one with default parameters.
     pub(super) fn service(&self, name: &str) -> Service {
         let known = self
             .configuration
@@ -176,19 +176,19 @@
         })
     }
 
-    /// Time that the requests take which wait here and come before `key`, or
-    /// all that wait if there is none.
+    /// Returns the predicted time that the queue ahead of `key` takes, or the
+    /// entire queue if `key` is none.
     pub(super) fn queue_ms(&self, service: &Service, key: Option<usize>, now_ms: u64) -> f64 {
         let own_ms = self.own_queue_ms(service, key, now_ms);
-        // The other hosts of the region have queues in front of the same
-        // endpoints, and their requests may be more or less urgent.
+        // The other hosts of the region queue requests for the same endpoints,
+        // which may be more or less urgent.
         let others_ms = self.hosts.peer_queue_ms(&service.name, now_ms) / 2.0;
         let endpoints = self.fleet.usable(&service.name, now_ms).count().max(1) as f64;
         (own_ms + others_ms) / endpoints
     }
 
-    /// Time that one endpoint would need for the requests that wait here and
-    /// come before `key`, or for all that wait if there is none.
+    /// Returns the time that a single endpoint would need for the queue of this
+    /// host ahead of `key`, or for the entire queue if `key` is none.
     pub(super) fn own_queue_ms(&self, service: &Service, key: Option<usize>, now_ms: u64) -> f64 {
         let own_rank = key.and_then(|key| self.exchanges.get(key)).map(rank);
         let ahead = self
@@ -243,7 +243,7 @@
         let work_ms = self
             .fleet
             .service_ms(service, &exchange.request.metadata, now_ms);
-        // The other hosts of this region have probably sent as much.
+        // Assumes that the other hosts of this region have sent as much.
         let all_sent_ms =
             self.hosts.away_sent_ms(region, &service.name) * self.region_view.host_count as f64;
         let sent_ms = all_sent_ms / f64::from(load.endpoint_count);
@@ -268,7 +268,7 @@
         })
     }
 
-    /// A live host of a region.
+    /// Returns a random live host of a region.
     pub(super) fn random_host(&mut self, region: &str, now_ms: u64) -> Option<HostInfo> {
         let hosts: Vec<HostInfo> = self
             .hosts
@@ -280,7 +280,7 @@
         hosts.get(index).cloned()
     }
 
-    /// Places requests that wait, the most urgent first.
+    /// Places waiting requests, the most urgent first.
     pub(super) fn serve_waiting(&mut self, _now_ms: u64) {
         if self.waiting.is_empty() {
             return;
@@ -309,7 +309,7 @@
     }
 }
 
-/// Order of waiting requests: by rank, then by arrival.
+/// Sort key of waiting requests: priority, then arrival.
 fn rank(exchange: &Exchange) -> (u8, u64, u64) {
     let priority = exchange.route.priority.unwrap_or(0);
     (priority, exchange.arrived_ms, exchange.serial)
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -1,7 +1,8 @@
-//! Passing on the answer of an endpoint or of another region.
+//! Relaying of responses from endpoints and other regions.
 //!
-//! Events of a stream are passed on as soon as they are whole. Any other answer
-//! is held until it is complete, so that a broken one can still be replaced.
+//! Events of a stream are relayed as soon as they are complete. Any other
+//! response is buffered until it is complete, so that the request can still be
+//! retried if the response is interrupted.
 
 use super::{
     body::{
@@ -32,12 +33,12 @@
     decode_response_metadata, //
 };
 
-/// Answers up to this size are passed on only when they are complete, so that a
-/// broken one can still be replaced.
+/// Size up to which responses are buffered until they are complete, so that the
+/// request can still be retried.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
 impl Reactor {
-    /// The head of an answer has arrived.
+    /// Handles the head of a response.
     pub(super) fn on_response_head(
         &mut self,
         key: usize,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Content of an answer has arrived.
+    /// Handles a piece of a response body.
     pub(super) fn on_response_body(&mut self, key: usize, content: &[u8]) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -110,7 +111,7 @@
         self.write_body_chunk(key, &complete_events);
     }
 
-    /// The first event, or the answer, of the present sending has arrived.
+    /// Records the first event, or the response, of the current dispatch.
     pub(super) fn record_first_event(&mut self, key: usize, now_ms: u64) {
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Writes the head of the answer to the caller, once.
+    /// Writes the response head to the caller unless it has been written.
     pub(super) fn write_head_once(&mut self, key: usize, head: &ResponseHead) {
         let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -173,7 +174,7 @@
         self.flush_client(client_key);
     }
 
-    /// The answer of an endpoint or another region is complete.
+    /// Handles the end of a complete response.
     pub(super) fn on_response_end(&mut self, key: usize, head: &ResponseHead) {
         let now_ms = self.now_ms();
         let metadata = decode_response_metadata(head);
@@ -192,7 +193,7 @@
         if exchange.route.is_stream && is_success {
             let remainder = exchange.events.partial().to_vec();
             if !remainder.is_empty() {
-                // Not an event, but part of the endpoint's body.
+                // Not a complete event, but part of the endpoint's body.
                 self.write_head_once(key, head);
                 self.write_body_chunk(key, &remainder);
             }
@@ -248,7 +249,7 @@
         self.relay_response(key, head);
     }
 
-    /// Passes on a complete answer, or the end of one that has begun.
+    /// Relays a complete response, or the rest of one that has begun.
     pub(super) fn relay_response(&mut self, key: usize, head: &ResponseHead) {
         let is_leaving = self.shutdown_started_ms.is_some();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -274,7 +275,8 @@
         self.end_exchange(key, "answered", head.status);
     }
 
-    /// The endpoint or region says that it did not run the request.
+    /// Handles the statement of an endpoint or region that it did not run the
+    /// request.
     pub(super) fn handle_not_run(&mut self, key: usize, head: &ResponseHead, failure: Failure) {
         let now_ms = self.now_ms();
         let Some(exchange) = self.exchanges.get_mut(key) else {
@@ -309,7 +311,7 @@
     }
 }
 
-/// Whether an answer is a whole success of the endpoint.
+/// Returns whether a response is a signed success with an unencoded body.
 fn is_success(head: &ResponseHead, metadata: &ResponseMetadata) -> bool {
     (200..300).contains(&head.status)
         && metadata.is_signed
--- a/src/gateway/serve_upstream.rs
+++ b/src/gateway/serve_upstream.rs
@@ -21,27 +21,27 @@
     decode_response_metadata, //
 };
 
-/// Longest time for a connection to be made to an endpoint of the same region.
-/// The platform takes a millisecond; a lost packet is sent again after a second.
+/// Connect timeout for endpoints of the same region. Connecting takes a
+/// millisecond on the platform; a lost packet is retransmitted after a second.
 const CONNECT_LIMIT_MS: u64 = 300;
-/// Longest time for a connection to be made to another region.
+/// Connect timeout for hosts of other regions.
 const REMOTE_CONNECT_LIMIT_MS: u64 = 700;
-/// How long an idle connection is reused if the endpoint does not say.
+/// Idle time after which a connection is not reused if the endpoint states none.
 const DEFAULT_IDLE_MS: u64 = 1_500;
-/// Share of the idle time that an endpoint states which is used, so that a
-/// request and the end of the connection do not cross.
+/// Fraction of the stated keep-alive timeout that is used, so that a request is
+/// not sent while the endpoint closes the connection.
 const IDLE_SHARE: f64 = 0.6;
-/// How long an idle connection to another host is kept.
+/// Idle time after which a connection to another host is not reused.
 const PEER_IDLE_MS: u64 = 5_000;
-/// Idle connections kept for one address.
+/// Maximum number of idle connections per address.
 const MAX_IDLE_PER_ADDRESS: usize = 32;
 
-/// Why an answer did not arrive.
+/// Reason for which no complete response arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamError {
-    /// The connection could not be made, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     Unreachable,
-    /// The connection broke, or what arrived is no answer.
+    /// The connection failed, or the response is malformed.
     Broken,
 }
 
@@ -68,7 +68,8 @@
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 return;
             };
-            // A failed write shows as a failed read, after what has arrived.
+            // A write error also shows up as a read error, after the data that
+            // has already arrived.
             upstream.socket.flush();
         }
         if event.is_readable() || event.is_read_closed() || event.is_error() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Reads an answer that was not read because its caller reads slowly.
+    /// Resumes reading a response that was paused because of a slow caller.
     pub(super) fn resume_reading(&mut self, exchange: Option<usize>) {
         let upstream = exchange
             .and_then(|exchange| self.exchanges.get(exchange))
@@ -128,7 +129,8 @@
         }
         let read_state = upstream.socket.fill();
         if upstream.phase == UpstreamPhase::Idle {
-            // Nothing was asked, so the end or any byte makes it unusable.
+            // No request is in progress, so a close or any byte makes the
+            // connection unusable.
             if read_state != ReadState::Open || !upstream.socket.input.is_empty() {
                 self.close_upstream(key);
             }
@@ -137,7 +139,7 @@
         self.read_response(key, read_state);
     }
 
-    /// Reads the answer from the input as far as it has arrived.
+    /// Processes the response in the input as far as it has arrived.
     fn read_response(&mut self, key: usize, read_state: ReadState) {
         loop {
             let Some(upstream) = self.upstreams.get_mut(key) else {
@@ -150,7 +152,7 @@
                 let parsed = parse_response(&upstream.socket.input, upstream.is_head_request);
                 match parsed {
                     Err(error) => {
-                        tracing::debug!(address = %upstream.address, %error, "unusable answer");
+                        tracing::debug!(address = %upstream.address, %error, "malformed response head; connection is closed");
                         return self.upstream_broken(key, UpstreamError::Broken);
                     }
                     Ok(None) if read_state != ReadState::Open => {
@@ -197,14 +199,14 @@
             tracing::info!(
                 address = %upstream.address,
                 attempt = ?metadata.attempt_id,
-                "answer to an earlier request dropped"
+                "response to an earlier request discarded"
             );
         } else if let Some(exchange) = exchange {
             self.on_response_head(exchange, &head, &metadata);
         }
     }
 
-    /// Reads content; false if nothing more can be done now.
+    /// Decodes body content; false if there is nothing more to process.
     fn read_response_body(&mut self, key: usize, read_state: ReadState) -> bool {
         let mut content = Vec::new();
         let Some(upstream) = self.upstreams.get_mut(key) else {
@@ -244,7 +246,7 @@
         false
     }
 
-    /// The answer has arrived whole; the connection may serve another request.
+    /// Handles the end of a response; keeps the connection for reuse if possible.
     fn complete_response(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let Some(upstream) = self.upstreams.get_mut(key) else {
@@ -286,7 +288,7 @@
         }
     }
 
-    /// Takes an idle connection, the one that was used last.
+    /// Takes the most recently used idle connection to an address.
     pub(super) fn take_idle(
         &mut self,
         address: std::net::SocketAddr,
@@ -308,12 +310,12 @@
         None
     }
 
-    /// Ends a connection that is of no more use.
+    /// Closes an upstream connection.
     pub(super) fn close_upstream(&mut self, key: usize) {
         let Some(mut upstream) = self.upstreams.try_remove(key) else {
             return;
         };
-        // Deregistration also happens when the socket is closed.
+        // Closing the socket deregisters it in any case.
         let _ = self.poll.registry().deregister(&mut upstream.socket.stream);
         if let Some(idle) = self.idle.get_mut(&upstream.address) {
             idle.retain(|other| *other != key);
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Ends a connection and tells its exchange.
+    /// Closes a failed connection and ends the dispatch on it.
     pub(super) fn upstream_broken(&mut self, key: usize, error: UpstreamError) {
         let exchange = self
             .upstreams
@@ -335,7 +337,7 @@
         }
     }
 
-    /// Ends connections that could not be made in time.
+    /// Closes connections that were not established within the connect timeout.
     pub(super) fn check_connecting(&mut self, now_ms: u64) {
         let late: Vec<usize> = self
             .upstreams
@@ -357,10 +359,10 @@
     }
 }
 
-/// Whether an answer belongs to another request than the one in progress.
+/// Returns whether a response belongs to an earlier request.
 ///
-/// An answer without an id is accepted only as the first one on a connection:
-/// later ones may be left over from the request before.
+/// A response without an attempt id is accepted only as the first one on a
+/// connection; a later one may belong to the previous request.
 fn is_stale(metadata: &ResponseMetadata, attempt: &str, request_count: u32) -> bool {
     match &metadata.attempt_id {
         Some(answered) => answered != attempt,
@@ -368,7 +370,8 @@
     }
 }
 
-/// How long a connection stays usable after an answer.
+/// Returns the idle time in milliseconds for which a connection is reused after
+/// a response.
 fn idle_ms(head: &ResponseHead) -> u64 {
     let stated_s = head
         .header("keep-alive")
