--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! HTTP headers and paths of the platform.
+//! HTTP headers and paths that the platform defines.
 
 use std::net::SocketAddr;
 
@@ -22,23 +22,23 @@
 const ATTEMPT_ID: &str = "x-attempt-id";
 const DEADLINE: &str = "x-deadline-ms";
 const MODEL: &str = "x-model";
-/// Prompt tokens and the most output tokens, separated by a comma.
+/// Prompt tokens and maximum output tokens, separated by a comma.
 const TOKENS: &str = "x-token-counts";
 const PROMPT_PARTS: &str = "x-prompt-prefix";
 const LAST_EVENT: &str = "last-event-id";
 const EXPECTED_ENDPOINT: &str = "X-Expect-Instance";
-/// Address of an endpoint that has cached parts of the prompt.
+/// Address of an endpoint from which cached parts of the prompt can be copied.
 const FETCH_FROM: &str = "Kv-Fetch";
 const PRIORITY: &str = "X-Request-Priority";
 const SIGNATURE: &str = "x-server-seal";
 const NOT_RUN: &str = "x-not-run";
-/// Running requests, waiting requests and slots.
+/// Running requests, queued requests and slots, separated by commas.
 const LOAD: &str = "x-server-load";
 const COLD_TIME: &str = "x-cold-ms";
-/// Lowest rank that an endpoint accepts; 0 is the most urgent.
+/// Least urgent priority that endpoints accept; 0 is the most urgent.
 const MAX_PRIORITY: u8 = 9;
 
-/// Headers that only the gateway may set. A caller's own are not passed on.
+/// Headers that only the gateway may set; those of callers are dropped.
 const RESERVED: [&str; 9] = [
     "x-hold",
     "x-pin-ms",
@@ -51,12 +51,12 @@
     DEADLINE,
 ];
 
-/// Path on which the platform asks whether a host takes requests.
+/// Path of the platform's readiness check.
 pub const READY_PATH: &str = "/cardamombridge/readyz";
-/// Path on which callers ask which hosts to use.
+/// Path on which callers query the directory for hosts.
 pub const DIRECTORY_PATH: &str = "/cardamombridge/resolve";
 
-/// Reads what the platform's headers say about a request.
+/// Decodes the platform's headers of a request; ignores malformed values.
 pub fn decode_request_metadata(headers: &[Header]) -> RequestMetadata {
     let mut metadata = RequestMetadata::default();
     for header in headers {
@@ -95,7 +95,9 @@
         .collect()
 }
 
-/// Whether a caller's header is passed on to an endpoint.
+/// Returns whether a caller's header is relayed to an endpoint.
+///
+/// With `is_resumed`, the gateway sets the id of the last event itself.
 pub fn is_relayed(header: &Header, is_resumed: bool) -> bool {
     let is_reserved = RESERVED.iter().any(|name| header.is(name));
     let is_replaced = is_resumed && header.is(LAST_EVENT);
@@ -105,20 +107,20 @@
 /// Headers that the gateway adds to a request for an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHeaders {
-    /// The endpoint that must answer; another one at its address refuses.
+    /// Id of the expected endpoint; another one at the address refuses the request.
     pub endpoint: Option<CompactString>,
-    /// Time until the caller stops waiting.
+    /// Time left until the deadline of the request.
     pub time_left_ms: u64,
-    /// Rank among other requests, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Endpoint from which cached prompt parts are copied first.
+    /// Endpoint from which cached prompt parts are copied before the request runs.
     pub fetch_from: Option<SocketAddr>,
-    /// Event after which a resumed stream goes on.
+    /// Id of the event after which a resumed stream continues.
     pub last_event_id: Option<CompactString>,
 }
 
 impl EndpointHeaders {
-    /// Appends the headers to the head of a request.
+    /// Appends the headers to a request head in `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut line = |name: &str, value: &str| {
             out.extend_from_slice(name.as_bytes());
@@ -142,24 +144,24 @@
     }
 }
 
-/// What an endpoint says about itself and a request in the head of an answer.
+/// Metadata about an endpoint and a request from a response head.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseMetadata {
-    /// The attempt that the answer belongs to, if the answer names one.
+    /// Id of the attempt that the response belongs to, if stated.
     pub attempt_id: Option<CompactString>,
-    /// The endpoint signed the answer.
+    /// The endpoint signed the response.
     pub is_signed: bool,
-    /// The endpoint says that it has not run the request.
+    /// The endpoint states that it has not run the request.
     pub is_not_run: bool,
-    /// Another endpoint listens at the address than the one that was expected.
+    /// The endpoint at the address is not the expected one.
     pub is_other_endpoint: bool,
-    /// Load at the time of the answer.
+    /// Load at the time of the response.
     pub load: Option<EndpointLoad>,
-    /// How long the endpoint stays cold.
+    /// Time for which the endpoint remains cold.
     pub cold_left_ms: Option<u64>,
 }
 
-/// Reads the platform's headers of an endpoint's answer.
+/// Decodes the platform's headers of a response; ignores malformed values.
 pub fn decode_response_metadata(head: &ResponseHead) -> ResponseMetadata {
     let mut metadata = ResponseMetadata {
         is_not_run: head.status == 421,
@@ -194,7 +196,7 @@
     })
 }
 
-/// A query to the directory.
+/// Query to the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DirectoryQuery {
     /// Region of the caller.
@@ -203,7 +205,7 @@
     pub data_centre: CompactString,
 }
 
-/// Reads the query string of a directory call.
+/// Decodes the query string of a directory query.
 pub fn decode_directory_query(query: &str) -> DirectoryQuery {
     let mut decoded = DirectoryQuery::default();
     for pair in query.split('&') {
@@ -216,7 +218,7 @@
     decoded
 }
 
-/// Body of a directory answer.
+/// Encodes the JSON body of a directory response.
 pub fn encode_directory_answer(addresses: &[SocketAddr], ttl_s: u32) -> Vec<u8> {
     let body = serde_json::json!({ "addrs": addresses, "ttl_s": ttl_s });
     body.to_string().into_bytes()
--- a/src/platform/items.rs
+++ b/src/platform/items.rs
@@ -1,7 +1,8 @@
-//! Items of the platform's store: configuration, endpoints and evacuations.
+//! Items of the platform's metadata store: configuration, endpoints and
+//! evacuations.
 //!
-//! The wire types are private. A field that is missing or of another type makes
-//! the whole item unusable, except where the platform allows its absence.
+//! The wire types are private. A field that is missing or of the wrong type makes
+//! the entire item invalid, except where the platform allows its absence.
 
 use std::net::SocketAddr;
 
@@ -32,18 +33,18 @@
 /// Prefix of the keys of endpoints.
 pub const ENDPOINT_PREFIX: &str = "servers/";
 
-/// Why an item cannot be used.
+/// Error in the value of an item.
 #[derive(Debug, Error)]
 pub enum ItemError {
-    /// The text is not the expected JSON.
-    #[error("not the expected JSON: {0}")]
+    /// The value is not JSON of the expected form.
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A word that the platform does not define.
-    #[error("unknown {field} {value:?}")]
+    /// A field has a value that the platform does not define.
+    #[error("unknown value {value:?} of field {field:?}")]
     UnknownValue {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: CompactString,
     },
 }
@@ -52,7 +53,7 @@
 struct WireConfiguration {
     version: u64,
     routes: Vec<WireRoute>,
-    /// Services; the platform calls them back ends, as it does endpoints.
+    /// Services; the platform uses "backend" for both services and endpoints.
     backends: Vec<WireService>,
     limits: WireLimits,
 }
@@ -67,7 +68,7 @@
     goal_ms: Option<f64>,
     max_attempts: Option<u32>,
     prio: Option<u8>,
-    /// The one service, if the route is not split.
+    /// Service of a route that is not split.
     backend: Option<CompactString>,
     #[serde(default)]
     split: Vec<WireShare>,
@@ -97,10 +98,10 @@
 struct WireEngine {
     slots: u32,
     kv_cap_tokens: u64,
-    /// Memory of one token of a prompt or an answer.
+    /// Memory that a token of a prompt or output takes.
     #[serde(default)]
     kv_token_bytes: f64,
-    /// Rate at which engines copy cached prompts between each other.
+    /// Rate at which engines copy cached prompts from each other, in Mbit/s.
     #[serde(default)]
     link_mbps: f64,
 }
@@ -115,7 +116,7 @@
 
 #[derive(Deserialize)]
 struct WireEndpoint {
-    /// Name of the service that the endpoint belongs to.
+    /// Name of the endpoint's service.
     backend: CompactString,
     addr: SocketAddr,
     zone: CompactString,
@@ -123,14 +124,19 @@
     state: CompactString,
     #[serde(default)]
     cold_left_ms: f64,
-    /// Only in a notice of removal: time until the endpoint is gone.
+    /// Time until the endpoint is removed; present only in a removal notice.
     remaining_ms: Option<f64>,
-    /// Unix time of the start, in milliseconds.
+    /// Unix time of the endpoint's start in milliseconds.
     #[serde(default)]
     born: u64,
 }
 
-/// Reads the configuration.
+/// Decodes the configuration.
+///
+/// # Errors
+///
+/// Fails if the value is not JSON of the expected form or a route has an unknown
+/// kind.
 pub fn decode_configuration(text: &[u8]) -> Result<Configuration, ItemError> {
     let wire: WireConfiguration = serde_json::from_slice(text)?;
     let routes: Result<Vec<Route>, ItemError> = wire.routes.into_iter().map(decode_route).collect();
@@ -197,13 +203,18 @@
     }
 }
 
-/// Time to copy a cached token to another engine; none if engines do not copy.
+/// Returns the time to copy a cached token to another engine; none if engines do
+/// not copy.
 fn copy_ms_per_token(engine: &WireEngine) -> Option<f64> {
     let is_possible = engine.kv_token_bytes > 0.0 && engine.link_mbps > 0.0;
     is_possible.then(|| engine.kv_token_bytes * 8.0 / (engine.link_mbps * 1_000.0))
 }
 
-/// Reads the entry of an endpoint.
+/// Decodes the announcement of an endpoint.
+///
+/// # Errors
+///
+/// Fails if the value is not JSON of the expected form or has an unknown state.
 pub fn decode_endpoint(text: &[u8]) -> Result<Announcement, ItemError> {
     let wire: WireEndpoint = serde_json::from_slice(text)?;
     let stage = match wire.state.as_str() {
@@ -228,7 +239,7 @@
     })
 }
 
-/// Rounds a duration up to whole milliseconds; negative ones count as none.
+/// Rounds a duration up to full milliseconds; negative ones become 0.
 fn ceil_ms(ms: f64) -> u64 {
     ms.ceil().max(0.0) as u64
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Translation between the users' platform and the gateway.
 //!
-//! Everything here reads or writes names and shapes that the platform defines:
-//! HTTP headers, items of its store and the calls of the store. Each shape is
-//! decoded once, into types of [`crate::gateway`]. No decision is made here.
+//! The modules read and write formats that the platform defines: HTTP headers,
+//! items of its metadata store and the store's API. Each format is decoded once,
+//! into types of [`crate::gateway`]. No decision is made here.
 
 pub mod headers;
 pub mod items;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's metadata store.
 //!
-//! One blocking call at a time, over `oxhttp`. A call that gets no answer may
-//! still have been executed, so callers repeat only what may be repeated.
+//! Calls are blocking and sequential, over `oxhttp`. A call that gets no response
+//! may still have been executed, so only idempotent calls are to be retried.
 
 use std::{
     io::Read,
@@ -29,55 +29,55 @@
 };
 use thiserror::Error;
 
-/// Largest answer that is read: a page holds a megabyte of values in base64.
+/// Maximum size of a response: a page holds a megabyte of values in base64.
 const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 
-/// Why a call to the store failed.
+/// Error of a call to the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No complete answer arrived; the call may have been executed.
-    #[error("no answer: {0}")]
+    /// No complete response arrived; the call may have been executed.
+    #[error("no complete response from the store: {0}")]
     NoAnswer(std::io::Error),
-    /// The store refused the call and did nothing.
-    #[error("refused with status {0}")]
+    /// The store refused the call and did not execute it.
+    #[error("store refused the call with status {0}, expected 2xx")]
     Refused(u16),
-    /// The answer cannot be read.
-    #[error("unreadable answer: {0}")]
+    /// The response cannot be decoded.
+    #[error("invalid response of the store: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The history after the revision is gone.
-    #[error("the history after that revision is gone")]
+    /// The store no longer has all changes after the revision.
+    #[error("store no longer has all changes after the revision; its items have to be read again")]
     HistoryDropped,
-    /// The lease has ended.
-    #[error("the lease has ended")]
+    /// The lease does not exist or has ended.
+    #[error("lease does not exist or has ended")]
     LeaseEnded,
 }
 
-/// A number that orders all changes of the store.
+/// Revision of the store; it increases with each change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StoreRevision(pub u64);
 
-/// Identity of a lease.
+/// Id of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
-/// An item as it was written, or its deletion.
+/// Write or deletion of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemChange {
     /// Key.
     pub key: CompactString,
     /// Revision of the change.
     pub revision: StoreRevision,
-    /// The value; none if the item was deleted.
+    /// New value; none if the item was deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// Items or changes, and the revision that they reach.
+/// Items or changes, with the revision up to which they are complete.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Items or changes, in order.
+    /// Items or changes, in the order received.
     pub changes: Vec<ItemChange>,
-    /// Revision of the store, or of the host, when it answered.
+    /// Revision of the store, or of the host, at the time of the response.
     pub revision: StoreRevision,
 }
 
@@ -119,14 +119,14 @@
     lease: u64,
 }
 
-/// Client of the store.
+/// Client of the metadata store.
 pub struct StoreClient {
     address: SocketAddr,
     client: Client,
 }
 
 impl StoreClient {
-    /// A client that gives up after `timeout`, for connecting and for answers.
+    /// Returns a client with a timeout for connecting and for responses.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             address,
@@ -134,10 +134,14 @@
         }
     }
 
-    /// All items whose keys start with `prefix`.
+    /// Reads all items whose keys start with `prefix`, page by page.
     ///
     /// The pages are not a snapshot; changes after the revision of the first
     /// page have to be watched.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of the calls fails.
     pub fn range(&self, prefix: &str) -> Result<Page, StoreError> {
         let mut all = Page::default();
         let mut after: Option<CompactString> = None;
@@ -159,7 +163,13 @@
         }
     }
 
-    /// Changes after `revision` under `prefix`, waiting for the first of them.
+    /// Returns changes after `revision` under `prefix`; waits up to `wait` for the
+    /// first one.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`StoreError::HistoryDropped`] if the store no longer has all
+    /// changes after `revision`, or if the call fails.
     pub fn watch(
         &self,
         prefix: &str,
@@ -178,7 +188,11 @@
         })
     }
 
-    /// Takes a lease.
+    /// Creates a lease that ends unless it is renewed within `ttl`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the call fails.
     pub fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         let body = serde_json::json!({ "ttl_ms": ttl.as_millis() as u64 }).to_string();
         let response = self.call(
@@ -191,18 +205,30 @@
     }
 
     /// Renews a lease.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the lease has ended or the call fails.
     pub fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         let path = format!("/cardamombridge/kv-keep/{}", lease.0);
         self.call(Method::POST, &path, None).map(drop)
     }
 
-    /// Ends a lease; its keys are deleted.
+    /// Ends a lease, which deletes its items.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the lease has ended or the call fails.
     pub fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
         let path = format!("/cardamombridge/kv-lease-end/{}", lease.0);
         self.call(Method::DELETE, &path, None).map(drop)
     }
 
     /// Writes an item that is deleted when `lease` ends.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the lease has ended or the call fails.
     pub fn put(&self, key: &str, value: &[u8], lease: LeaseId) -> Result<(), StoreError> {
         let body = serde_json::to_vec(&WireTransaction {
             precondition: [],
