--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -24,7 +24,7 @@
 
 /// What another region offers.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AwayOffer {
+pub struct RemoteOffer {
     /// The region.
     pub region: CompactString,
     /// Predicted time until the first event, the way there and back included.
@@ -35,13 +35,13 @@
 
 /// What is known when a request is placed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Situation {
+pub struct PlacementContext {
     /// Best endpoint of this region, if any may be used.
-    pub here: Option<Choice>,
+    pub local: Option<Choice>,
     /// Time that requests which wait here with the same or a higher rank take.
     pub queue_ms: f64,
     /// Best offer of another region, if the request may go there.
-    pub away: Option<AwayOffer>,
+    pub remote: Option<RemoteOffer>,
     /// Time left until an answer is late.
     pub goal_left_ms: f64,
     /// Whole goal.
@@ -60,74 +60,74 @@
     /// It waits for an endpoint of this region.
     Wait,
     /// It goes to another region.
-    Away(AwayOffer),
+    Forward(RemoteOffer),
     /// It is refused; the caller may come back after so many milliseconds.
     Refuse(u64),
 }
 
 /// Decides what happens to a request now.
-pub fn place(situation: Situation) -> Placement {
-    let here_ms = situation
-        .here
+pub fn place(context: PlacementContext) -> Placement {
+    let local_ms = context
+        .local
         .as_ref()
-        .map(|choice| choice.first_event_ms + situation.queue_ms);
-    if let Some(offer) = better_away(&situation, here_ms) {
-        return Placement::Away(offer);
+        .map(|choice| choice.first_event_ms + context.queue_ms);
+    if let Some(offer) = cheaper_remote(&context, local_ms) {
+        return Placement::Forward(offer);
     }
-    let Some(here_ms) = here_ms else {
-        return without_endpoint(situation);
+    let Some(local_ms) = local_ms else {
+        return without_endpoint(context);
     };
-    let has_room = situation
-        .here
+    let has_room = context
+        .local
         .as_ref()
         .is_some_and(|choice| choice.backlog_ms <= MAX_ENDPOINT_BACKLOG_MS);
     // A request that has waited is the most urgent one when it is asked about.
-    let is_next = situation.is_waiting || situation.queue_ms <= 0.0;
-    let goes_now = situation.here.clone().filter(|choice| {
+    let is_next = context.is_waiting || context.queue_ms <= 0.0;
+    let goes_now = context.local.clone().filter(|choice| {
         let is_short =
-            choice.work.is_short_prompt() && choice.first_event_ms <= situation.goal_left_ms;
-        (is_short || (has_room && is_next)) && choice.first_event_ms < situation.time_left_ms
+            choice.work.is_short_prompt() && choice.first_event_ms <= context.goal_left_ms;
+        (is_short || (has_room && is_next)) && choice.first_event_ms < context.time_left_ms
     });
     if let Some(choice) = goes_now {
         return Placement::Send(choice);
     }
-    let is_hopeless = here_ms >= situation.time_left_ms;
-    let is_late = here_ms > situation.goal_left_ms;
-    if is_hopeless || (is_late && !situation.is_waiting) {
-        return refuse(&situation, here_ms);
+    let is_hopeless = local_ms >= context.time_left_ms;
+    let is_late = local_ms > context.goal_left_ms;
+    if is_hopeless || (is_late && !context.is_waiting) {
+        return refuse(&context, local_ms);
     }
     Placement::Wait
 }
 
-fn better_away(situation: &Situation, here_ms: Option<f64>) -> Option<AwayOffer> {
-    let offer = situation.away.clone()?;
-    if offer.first_event_ms >= situation.time_left_ms {
+fn cheaper_remote(context: &PlacementContext, local_ms: Option<f64>) -> Option<RemoteOffer> {
+    let offer = context.remote.clone()?;
+    if offer.first_event_ms >= context.time_left_ms {
         return None;
     }
-    match here_ms {
+    match local_ms {
         None => Some(offer),
         Some(_) => {
-            let cost_here_ms = situation.here.as_ref().map_or(0.0, |choice| choice.cost_ms);
-            let queue_cost_ms = situation.queue_ms * QUEUE_WEIGHT;
-            let is_cheaper = offer.cost_ms < cost_here_ms + queue_cost_ms;
-            let is_in_time = offer.first_event_ms <= situation.goal_left_ms;
+            let local_cost_ms = context.local.as_ref().map_or(0.0, |choice| choice.cost_ms);
+            let queue_cost_ms = context.queue_ms * QUEUE_WEIGHT;
+            let is_cheaper = offer.cost_ms < local_cost_ms + queue_cost_ms;
+            let is_in_time = offer.first_event_ms <= context.goal_left_ms;
             (is_cheaper && is_in_time).then_some(offer)
         }
     }
 }
 
 /// No endpoint may be used at this moment; one may be free shortly.
-fn without_endpoint(situation: Situation) -> Placement {
-    let wait_ms = situation.goal_ms / 8.0;
-    if situation.goal_left_ms > situation.goal_ms - wait_ms {
+fn without_endpoint(context: PlacementContext) -> Placement {
+    let wait_ms = context.goal_ms / 8.0;
+    if context.goal_left_ms > context.goal_ms - wait_ms {
         return Placement::Wait;
     }
-    refuse(&situation, situation.goal_ms)
+    refuse(&context, context.goal_ms)
 }
 
-fn refuse(situation: &Situation, here_ms: f64) -> Placement {
-    let excess_ms = here_ms - situation.goal_ms / 2.0;
-    let longest_ms = situation.time_left_ms * MAX_RETRY_SHARE;
+fn refuse(context: &PlacementContext, local_ms: f64) -> Placement {
+    let excess_ms = local_ms - context.goal_ms / 2.0;
+    let longest_ms = context.time_left_ms * MAX_RETRY_SHARE;
     let retry_ms = excess_ms.min(longest_ms).max(MIN_RETRY_MS);
     Placement::Refuse(retry_ms as u64)
 }
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -8,7 +8,7 @@
 
 /// Whether a request may be sent again after it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once.
@@ -38,7 +38,7 @@
     /// Whether the answer is a series of events.
     pub is_stream: bool,
     /// Whether requests may run again.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Longest time that a request is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer, or its first event, is on time.
@@ -50,7 +50,7 @@
     /// Services that serve the route.
     pub targets: Vec<RouteTarget>,
     /// Regions that may serve the route; any region if empty.
-    pub homes: Vec<CompactString>,
+    pub home_regions: Vec<CompactString>,
 }
 
 /// A group of endpoints that serve the same requests.
@@ -130,7 +130,7 @@
     pub fn home_route_count(&self, region: &str) -> usize {
         self.routes
             .iter()
-            .filter(|route| !route.homes.is_empty() && route.allows_region(region))
+            .filter(|route| !route.home_regions.is_empty() && route.allows_region(region))
             .count()
     }
 
@@ -156,6 +156,6 @@
 
     /// Whether a region may serve the route.
     pub fn allows_region(&self, region: &str) -> bool {
-        self.homes.is_empty() || self.homes.iter().any(|home| home == region)
+        self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
 
 use super::{
     configuration::{
-        Repeat,
+        RetryPolicy,
         Route, //
     },
     events::EventSplitter,
@@ -55,13 +55,13 @@
             route: route.name.clone(),
             service,
             is_stream: route.is_stream,
-            is_idempotent: route.repeat == Repeat::Idempotent,
-            is_resumable: route.repeat == Repeat::Resume,
+            is_idempotent: route.retry_policy == RetryPolicy::Idempotent,
+            is_resumable: route.retry_policy == RetryPolicy::Resume,
             goal_ms: route.goal_ms,
             timeout_ms: route.timeout_ms,
             max_attempts: route.max_attempts,
             priority: route.priority,
-            homes: route.homes.clone(),
+            homes: route.home_regions.clone(),
         }
     }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -68,11 +68,11 @@
 /// Cost of a millisecond beyond the spare time.
 const EXCESS_WEIGHT: f64 = 4.0;
 /// Cost of traffic between regions.
-const AWAY_COST_MS: f64 = 60.0;
+const REMOTE_COST_MS: f64 = 60.0;
 /// How long a prompt part is expected in the caches of another region.
-const AWAY_CACHE_MS: u64 = 8_000;
+const REMOTE_CACHE_MS: u64 = 8_000;
 /// Parts remembered for other regions before old ones are dropped.
-const MAX_AWAY_PARTS: usize = 4_096;
+const MAX_REMOTE_PARTS: usize = 4_096;
 /// Cost of a full endpoint relative to an empty one: events come more slowly.
 const LOAD_COST_MS: f64 = 150.0;
 /// Cost of a millisecond in which an endpoint reads instead of going on with the
@@ -219,7 +219,7 @@
     run_ms: BTreeMap<CompactString, f64>,
     prefill_ms_per_token: BTreeMap<CompactString, f64>,
     /// When a prompt part was last sent to another region.
-    away_parts: BTreeMap<(CompactString, u64), u64>,
+    remote_parts: BTreeMap<(CompactString, u64), u64>,
 }
 
 impl Fleet {
@@ -239,7 +239,7 @@
             evacuated: BTreeSet::new(),
             run_ms: BTreeMap::new(),
             prefill_ms_per_token: BTreeMap::new(),
-            away_parts: BTreeMap::new(),
+            remote_parts: BTreeMap::new(),
         }
     }
 
@@ -503,7 +503,7 @@
 
     /// Cost of a request in another region, which answers after `first_event_ms`
     /// if it has to read the whole prompt.
-    pub fn cost_away(
+    pub fn remote_cost(
         &self,
         region: &str,
         first_event_ms: f64,
@@ -512,24 +512,26 @@
     ) -> f64 {
         let call = demand.call;
         let is_known = call.affinity().is_some_and(|part| {
-            let sent_ms = self.away_parts.get(&(region.into(), part));
-            sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + AWAY_CACHE_MS)
+            let sent_ms = self.remote_parts.get(&(region.into(), part));
+            sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + REMOTE_CACHE_MS)
         });
         let cached = if is_known { call.shared_tokens() } else { 0 };
         let uncached_tokens = call.prompt.0.saturating_sub(cached);
         let prefill_ms =
             uncached_tokens as f64 * self.mean_prefill_ms_per_token(demand.service, now_ms);
-        AWAY_COST_MS + PREFILL_WEIGHT * prefill_ms + wait_cost(first_event_ms, demand.goal_left_ms)
+        REMOTE_COST_MS
+            + PREFILL_WEIGHT * prefill_ms
+            + wait_cost(first_event_ms, demand.goal_left_ms)
     }
 
     /// Remembers that a request was sent to another region.
-    pub fn remember_away(&mut self, region: &str, call: &Call, now_ms: u64) {
-        if self.away_parts.len() > MAX_AWAY_PARTS {
-            self.away_parts
-                .retain(|_, sent_ms| now_ms < *sent_ms + AWAY_CACHE_MS);
+    pub fn record_remote_prompt(&mut self, region: &str, call: &Call, now_ms: u64) {
+        if self.remote_parts.len() > MAX_REMOTE_PARTS {
+            self.remote_parts
+                .retain(|_, sent_ms| now_ms < *sent_ms + REMOTE_CACHE_MS);
         }
         if let Some(part) = call.affinity() {
-            self.away_parts.insert((region.into(), part), now_ms);
+            self.remote_parts.insert((region.into(), part), now_ms);
         }
     }
 
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -29,11 +29,11 @@
 };
 
 /// Longest wait of one watch. A watch whose connection went silent is noticed
-/// after this and [`ANSWER_TIMEOUT`], which has to be within the time after
+/// after this and [`RESPONSE_TIMEOUT`], which has to be within the time after
 /// which a host counts as connected again.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
 /// Longest wait for an answer of the store: several times its slowest.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call, so that a store that is down is not flooded.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Pause between two watches for each host of the region.
@@ -54,8 +54,8 @@
     /// A follower of the store at `address`.
     pub fn new(address: SocketAddr, replica: StoreReplica) -> Self {
         Self {
-            quick: StoreClient::new(address, ANSWER_TIMEOUT),
-            patient: StoreClient::new(address, WATCH_WAIT + ANSWER_TIMEOUT),
+            quick: StoreClient::new(address, RESPONSE_TIMEOUT),
+            patient: StoreClient::new(address, WATCH_WAIT + RESPONSE_TIMEOUT),
             replica,
             is_reachable: None,
         }
--- a/src/gateway/hosts.rs
+++ b/src/gateway/hosts.rs
@@ -123,7 +123,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct AwayLoad {
+struct RemoteLoad {
     at_ms: u64,
     load: ServiceLoad,
     sent_since_ms: f64,
@@ -136,7 +136,7 @@
     is_leaving: bool,
     is_store_reachable: bool,
     known: BTreeMap<CompactString, Known>,
-    away: BTreeMap<(CompactString, CompactString), AwayLoad>,
+    remote_loads: BTreeMap<(CompactString, CompactString), RemoteLoad>,
 }
 
 /// The hosts of this host's region, as it sees them.
@@ -157,7 +157,7 @@
             is_leaving: false,
             is_store_reachable: false,
             known: BTreeMap::new(),
-            away: BTreeMap::new(),
+            remote_loads: BTreeMap::new(),
         }
     }
 
@@ -222,12 +222,12 @@
         }
         for load in beacon.services {
             let key = (beacon.host.region.clone(), load.service.clone());
-            let fresh = AwayLoad {
+            let fresh = RemoteLoad {
                 at_ms: now_ms,
                 load,
                 sent_since_ms: 0.0,
             };
-            self.away.insert(key, fresh);
+            self.remote_loads.insert(key, fresh);
         }
         true
     }
@@ -284,26 +284,26 @@
     }
 
     /// Load of a service in another region, with its age.
-    pub fn away_load(
+    pub fn remote_load(
         &self,
         region: &str,
         service: &str,
         now_ms: u64,
     ) -> Option<(&ServiceLoad, u64)> {
-        let away = self.away.get(&(region.into(), service.into()))?;
+        let away = self.remote_loads.get(&(region.into(), service.into()))?;
         Some((&away.load, now_ms.saturating_sub(away.at_ms)))
     }
 
     /// Work sent to another region since its load was last heard, as the time
     /// that one endpoint needs for it.
-    pub fn away_sent_ms(&self, region: &str, service: &str) -> f64 {
-        let away = self.away.get(&(region.into(), service.into()));
+    pub fn remote_sent_ms(&self, region: &str, service: &str) -> f64 {
+        let away = self.remote_loads.get(&(region.into(), service.into()));
         away.map_or(0.0, |away| away.sent_since_ms)
     }
 
     /// Records a request sent to another region, which needs `work_ms` there.
-    pub fn record_away(&mut self, region: &str, service: &str, work_ms: f64) {
-        if let Some(away) = self.away.get_mut(&(region.into(), service.into())) {
+    pub fn record_remote_work(&mut self, region: &str, service: &str, work_ms: f64) {
+        if let Some(away) = self.remote_loads.get_mut(&(region.into(), service.into())) {
             away.sent_since_ms += work_ms;
         }
     }
--- a/src/gateway/peer_changes.rs
+++ b/src/gateway/peer_changes.rs
@@ -28,16 +28,16 @@
 /// Path of the call on the address for other hosts.
 pub const CHANGES_PATH: &str = "/bridge/news";
 /// Longest wait for an answer of a host, a round trip between regions included.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest answer: all items of a large installation.
-const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Why a host did not tell its news.
 #[derive(Debug, Error)]
 pub enum PeerChangesError {
     /// No complete answer arrived.
     #[error("no answer: {0}")]
-    NoAnswer(#[from] io::Error),
+    NoResponse(#[from] io::Error),
     /// The host refused.
     #[error("refused with status {0}")]
     Refused(u16),
@@ -48,7 +48,7 @@
 
 /// Asks the host at `peer` for changes after `revision`.
 pub fn fetch_changes(peer: SocketAddr, revision: StoreRevision) -> Result<Page, PeerChangesError> {
-    let client = Client::new().with_global_timeout(ANSWER_TIMEOUT);
+    let client = Client::new().with_global_timeout(RESPONSE_TIMEOUT);
     let request = Request::builder()
         .method(Method::GET)
         .uri(format!("http://{peer}{CHANGES_PATH}?after={}", revision.0))
@@ -61,7 +61,7 @@
     let mut bytes = Vec::new();
     answer
         .into_body()
-        .take(MAX_ANSWER_BYTES)
+        .take(MAX_RESPONSE_BYTES)
         .read_to_end(&mut bytes)?;
     Ok(postcard::from_bytes(&bytes)?)
 }
--- a/src/gateway/registration.rs
+++ b/src/gateway/registration.rs
@@ -19,7 +19,7 @@
 
 /// Longest wait for an answer of the store: half of the lease, so that a second
 /// try comes in time.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call, so that a store that is down is not flooded.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Lifetime of the host's lease: two renewals may fail.
@@ -38,7 +38,7 @@
     /// Registers `info` at the store at `address`.
     pub fn new(address: std::net::SocketAddr, info: HostInfo, min_lease_ms: u64) -> Self {
         Self {
-            client: StoreClient::new(address, ANSWER_TIMEOUT),
+            client: StoreClient::new(address, RESPONSE_TIMEOUT),
             info,
             ttl: LEASE_TTL.max(Duration::from_millis(min_lease_ms)),
         }
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes one repeat from the budget of a host among `host_count`.
-    pub fn take(&mut self, service: &str, host_count: usize, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, service: &str, host_count: usize, now_ms: u64) -> bool {
         let window = self.windows.entry(service.into()).or_default();
         forget(window, self.bounds.window_ms, now_ms);
         let by_requests = self.bounds.ratio * RATIO_SHARE * window.requests_ms.len() as f64;
--- a/src/gateway/serve_answer.rs
+++ b/src/gateway/serve_answer.rs
@@ -288,7 +288,7 @@
                 let service = self.exchanges[key].plan.service.clone();
                 let tries_left = self.exchanges[key].excluded.len() < MAX_EXCLUDED;
                 let hosts = self.hosts.live_count(now_ms);
-                if tries_left && self.budget.take(&service, hosts, now_ms) {
+                if tries_left && self.budget.try_take(&service, hosts, now_ms) {
                     return self.place_exchange(key);
                 }
                 self.refuse(key, "endpoint full", retry_ms);
--- a/src/gateway/serve_ending.rs
+++ b/src/gateway/serve_ending.rs
@@ -105,7 +105,7 @@
         }
         let service = exchange.plan.service.clone();
         let attempt = exchange.request.call.attempt.clone();
-        let is_allowed = self.budget.take(&service, hosts, now_ms);
+        let is_allowed = self.budget.try_take(&service, hosts, now_ms);
         tracing::info!(request = %attempt, cause, is_allowed, "repeat decided");
         if is_allowed {
             self.telemetry.count_repeat();
@@ -290,7 +290,7 @@
             return;
         };
         let service = exchange.plan.service.clone();
-        if !self.budget.take(&service, hosts, now_ms) {
+        if !self.budget.try_take(&service, hosts, now_ms) {
             return;
         }
         let exchange = &mut self.exchanges[key];
--- a/src/gateway/serve_exchange.rs
+++ b/src/gateway/serve_exchange.rs
@@ -9,9 +9,9 @@
 
 use super::{
     admission::{
-        AwayOffer,
         Placement,
-        Situation,
+        PlacementContext,
+        RemoteOffer,
         place, //
     },
     configuration::Service,
@@ -90,19 +90,19 @@
         };
         let inputs = Refused {
             here_ms: situation
-                .here
+                .local
                 .as_ref()
                 .map(|choice| (choice.first_event_ms + situation.queue_ms) as u64),
             queue_ms: situation.queue_ms as u64,
             away_ms: situation
-                .away
+                .remote
                 .as_ref()
                 .map(|offer| offer.first_event_ms as u64),
             retry_ms: 0,
         };
         match place(situation) {
             Placement::Send(choice) => self.send_to_endpoint(key, choice),
-            Placement::Away(offer) => self.send_away(key, offer),
+            Placement::Forward(offer) => self.send_away(key, offer),
             Placement::Wait => {
                 if !exchange.is_waiting {
                     exchange.is_waiting = true;
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(super) fn situation(&mut self, key: usize, now_ms: u64) -> Option<Situation> {
+    pub(super) fn situation(&mut self, key: usize, now_ms: u64) -> Option<PlacementContext> {
         let exchange = self.exchanges.get(key)?;
         let plan = &exchange.plan;
         let service = self.service(&plan.service);
@@ -135,19 +135,19 @@
             self.fleet.choose(&demand, now_ms)
         };
         let unwanted = [exchange.excluded.as_slice(), exchange.avoided.as_slice()].concat();
-        let away = self.away_offer(exchange, &service, now_ms);
+        let remote = self.away_offer(exchange, &service, now_ms);
         let untried = is_home.then(|| choose(&unwanted)).flatten();
         // An endpoint that failed the request is only tried again if no other
         // region can be.
-        let here = match untried {
-            None if is_home && away.is_none() => choose(&exchange.excluded),
+        let local = match untried {
+            None if is_home && remote.is_none() => choose(&exchange.excluded),
             untried => untried,
         };
         let queue_ms = self.queue_ms(&service, Some(key), now_ms);
-        Some(Situation {
-            here,
+        Some(PlacementContext {
+            local,
             queue_ms,
-            away,
+            remote,
             goal_left_ms,
             goal_ms: plan.goal_ms as f64,
             time_left_ms,
@@ -201,7 +201,7 @@
         exchange: &Exchange,
         service: &Service,
         now_ms: u64,
-    ) -> Option<AwayOffer> {
+    ) -> Option<RemoteOffer> {
         if exchange.is_forwarded {
             return None;
         }
@@ -224,8 +224,8 @@
         exchange: &Exchange,
         service: &Service,
         now_ms: u64,
-    ) -> Option<AwayOffer> {
-        let (load, age_ms) = self.hosts.away_load(region, &service.name, now_ms)?;
+    ) -> Option<RemoteOffer> {
+        let (load, age_ms) = self.hosts.remote_load(region, &service.name, now_ms)?;
         if age_ms > MAX_AWAY_AGE_MS || load.endpoint_count == 0 {
             return None;
         }
@@ -235,7 +235,7 @@
             .service_ms(service, &exchange.request.call, now_ms);
         // The other hosts of this region have probably sent as much.
         let all_sent_ms =
-            self.hosts.away_sent_ms(region, &service.name) * self.region_view.host_count as f64;
+            self.hosts.remote_sent_ms(region, &service.name) * self.region_view.host_count as f64;
         let sent_ms = all_sent_ms / f64::from(load.endpoint_count);
         let first_event_ms = round_trip_ms.unwrap_or(DEFAULT_ROUND_TRIP_MS)
             + f64::from(load.backlog_ms)
@@ -249,12 +249,12 @@
             goal_left_ms: exchange.goal_at_ms.saturating_sub(now_ms) as f64,
             time_left_ms: exchange.deadline_ms.saturating_sub(now_ms) as f64,
         };
-        Some(AwayOffer {
+        Some(RemoteOffer {
             region: region.clone(),
             first_event_ms,
             cost_ms: self
                 .fleet
-                .cost_away(region, first_event_ms, &demand, now_ms),
+                .remote_cost(region, first_event_ms, &demand, now_ms),
         })
     }
 
--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_sending.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{
-    admission::AwayOffer,
+    admission::RemoteOffer,
     answer::{
         FORWARD_HEADER,
         write_request_start, //
@@ -79,7 +79,7 @@
         self.send(key, address, destination, &headers, None);
     }
 
-    pub(super) fn send_away(&mut self, key: usize, offer: AwayOffer) {
+    pub(super) fn send_away(&mut self, key: usize, offer: RemoteOffer) {
         let now_ms = self.now_ms();
         let Some(host) = self.random_host(&offer.region, now_ms) else {
             return;
@@ -126,9 +126,9 @@
         let service = self.service(&service);
         let work_ms = self.fleet.service_ms(&service, &request.call, now_ms);
         self.hosts
-            .record_away(&offer.region, &service.name, work_ms);
+            .record_remote_work(&offer.region, &service.name, work_ms);
         self.fleet
-            .remember_away(&offer.region, &request.call, now_ms);
+            .record_remote_prompt(&offer.region, &request.call, now_ms);
         self.telemetry.count_away();
         let destination = Destination::Region {
             region: offer.region,
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -43,7 +43,7 @@
 /// the platform's two seconds and the time on the way.
 const ANNOUNCEMENT_RETURN_MS: u64 = 2_200;
 /// Interval of beacons to one host of each other region.
-const AWAY_BEACON_INTERVAL_MS: u64 = 400;
+const REMOTE_BEACON_INTERVAL_MS: u64 = 400;
 
 impl Reactor {
     pub(super) fn apply_update(&mut self, update: Update) {
@@ -166,15 +166,15 @@
                 .clamp(MIN_BEACON_INTERVAL_MS, MAX_BEACON_INTERVAL_MS);
             self.next_beacon_ms = now_ms + interval_ms;
             if !peers.is_empty() {
-                let beacon = self.region_beacon();
+                let beacon = self.local_beacon();
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
         if now_ms >= self.next_away_beacon_ms {
-            self.next_away_beacon_ms = now_ms + AWAY_BEACON_INTERVAL_MS;
+            self.next_away_beacon_ms = now_ms + REMOTE_BEACON_INTERVAL_MS;
             let peers = self.one_host_of_each_region(now_ms);
             if !peers.is_empty() {
-                let beacon = self.away_beacon(now_ms);
+                let beacon = self.remote_beacon(now_ms);
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
@@ -262,7 +262,7 @@
         }
     }
 
-    fn region_beacon(&mut self) -> Beacon {
+    fn local_beacon(&mut self) -> Beacon {
         let mut beacon = self.new_beacon();
         beacon.shares = self
             .fleet
@@ -287,7 +287,7 @@
         queues.filter(|queue| queue.work_ms > 0).collect()
     }
 
-    fn away_beacon(&mut self, now_ms: u64) -> Beacon {
+    fn remote_beacon(&mut self, now_ms: u64) -> Beacon {
         let mut beacon = self.new_beacon();
         let Some(configuration) = self.configuration.clone() else {
             return beacon;
--- a/src/platform/items.rs
+++ b/src/platform/items.rs
@@ -14,7 +14,7 @@
         CallerLimits,
         Configuration,
         Engine,
-        Repeat,
+        RetryPolicy,
         Route,
         RouteTarget,
         Service, //
@@ -148,11 +148,11 @@
 }
 
 fn decode_route(wire: WireRoute) -> Result<Route, ItemError> {
-    let repeat = match wire.kind.as_str() {
-        "idempotent" => Repeat::Idempotent,
-        "mutating" => Repeat::Never,
-        "streaming" if wire.resumable => Repeat::Resume,
-        "streaming" => Repeat::Never,
+    let retry_policy = match wire.kind.as_str() {
+        "idempotent" => RetryPolicy::Idempotent,
+        "mutating" => RetryPolicy::Never,
+        "streaming" if wire.resumable => RetryPolicy::Resume,
+        "streaming" => RetryPolicy::Never,
         _ => {
             return Err(ItemError::UnknownWord {
                 field: "kind",
@@ -174,13 +174,13 @@
         name: wire.name,
         host: wire.host,
         prefix: wire.prefix,
-        repeat,
+        retry_policy,
         timeout_ms,
         goal_ms: wire.goal_ms.map_or(timeout_ms, whole_ms),
         max_attempts: wire.max_attempts.unwrap_or(1).max(1),
         priority: wire.prio,
         targets: whole.into_iter().chain(shares).collect(),
-        homes: wire.home_regions,
+        home_regions: wire.home_regions,
     })
 }
 
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -5,15 +5,15 @@
 use cardamombridge::{
     gateway::{
         admission::{
-            AwayOffer,
             Placement,
-            Situation,
+            PlacementContext,
+            RemoteOffer,
             place, //
         },
         configuration::{
             Configuration,
             Engine,
-            Repeat,
+            RetryPolicy,
             Route,
             RouteTarget,
             Service, //
@@ -368,7 +368,7 @@
             endpoint: format_compact!("e-{number}"),
             first_event_ms: f64::from(u32::MAX),
             work,
-            ..situation().here.expect("a choice")
+            ..placement_context().local.expect("a choice")
         };
         pending.record_send(&choice, u32::MAX, &call);
         pending.record_block(u32::MAX, u64::from(u32::MAX));
@@ -584,9 +584,9 @@
     assert!(!endpoint.is_cold(4_100));
 }
 
-fn situation() -> Situation {
-    Situation {
-        here: Some(Choice {
+fn placement_context() -> PlacementContext {
+    PlacementContext {
+        local: Some(Choice {
             endpoint: "e-0".into(),
             first_event_ms: 100.0,
             work: Work {
@@ -599,7 +599,7 @@
             fetch_from: None,
         }),
         queue_ms: 0.0,
-        away: None,
+        remote: None,
         goal_left_ms: 800.0,
         goal_ms: 800.0,
         time_left_ms: 8_000.0,
@@ -611,9 +611,9 @@
 /// longer than the goal, in which no request is on time.
 #[test]
 fn request_that_would_be_late_is_refused_at_once() {
-    let late = Situation {
+    let late = PlacementContext {
         queue_ms: 2_000.0,
-        ..situation()
+        ..placement_context()
     };
 
     let Placement::Refuse(retry_ms) = place(late) else {
@@ -626,9 +626,9 @@
 /// Guards against a request that jumps over those that wait.
 #[test]
 fn request_waits_behind_earlier_ones() {
-    let queued = Situation {
+    let queued = PlacementContext {
         queue_ms: 300.0,
-        ..situation()
+        ..placement_context()
     };
 
     assert_eq!(place(queued), Placement::Wait);
@@ -639,21 +639,21 @@
 /// that gains nothing.
 #[test]
 fn request_goes_away_only_for_a_clear_gain() {
-    let offer = AwayOffer {
+    let offer = RemoteOffer {
         region: "south".into(),
         first_event_ms: 300.0,
         cost_ms: 500.0,
     };
-    let busy = Situation {
+    let busy = PlacementContext {
         queue_ms: 900.0,
-        away: Some(offer.clone()),
-        ..situation()
+        remote: Some(offer.clone()),
+        ..placement_context()
     };
-    assert_eq!(place(busy), Placement::Away(offer.clone()));
+    assert_eq!(place(busy), Placement::Forward(offer.clone()));
 
-    let idle = Situation {
-        away: Some(offer),
-        ..situation()
+    let idle = PlacementContext {
+        remote: Some(offer),
+        ..placement_context()
     };
     assert!(matches!(place(idle), Placement::Send(_)));
 }
@@ -672,7 +672,7 @@
         let mut budget = RetryBudget::new(bounds);
         for request in 0..500 {
             budget.record_request("desk", request);
-            repeats += u32::from(budget.take("desk", host_count, request));
+            repeats += u32::from(budget.try_take("desk", host_count, request));
         }
     }
 
@@ -776,7 +776,7 @@
         host: "shop.example".into(),
         prefix: prefix.into(),
         is_stream: false,
-        repeat: Repeat::Never,
+        retry_policy: RetryPolicy::Never,
         timeout_ms: 1_000,
         goal_ms: 500,
         max_attempts: 1,
@@ -791,7 +791,7 @@
                 weight: 10.0,
             },
         ],
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     };
     let configuration = Configuration {
         routes: vec![route("short", "/a/"), route("long", "/a/b/")],
