--- a/src/gateway/hosts.rs
+++ b/src/gateway/hosts.rs
@@ -1,8 +1,8 @@
-//! The hosts of the gateway, as the store and the hosts themselves show them.
+//! Membership of the gateway's hosts, from the store and from beacons.
 //!
-//! Every host writes an item under a lease. Hosts also send each other beacons,
-//! so that a host is still known while the store is away, and its end is seen
-//! although the store cannot tell.
+//! Every host writes an item to the store under a lease. Hosts also send each
+//! other beacons, so that a host stays known while the store is unreachable, and
+//! the loss of a host is detected although the store cannot report it.
 
 use std::{
     collections::{
@@ -28,18 +28,19 @@
 
 /// Prefix of the keys of hosts in the store.
 pub const HOST_PREFIX: &str = "cardamombridge/hosts/";
-/// Silence after which a host that sent beacons is taken as gone while the
-/// store cannot tell. Several beacons of the slowest interval fit into it.
-const SILENCE_MS: u64 = 3_000;
-/// Time after which the prompts that another host told of have been read.
+/// Time without packets after which a host that sent beacons counts as lost
+/// while the store is unreachable. Several beacons of the longest interval fit
+/// into it.
+const SILENCE_LIMIT_MS: u64 = 3_000;
+/// Time after which the prompts that another host reported have been prefilled.
 const BACKLOG_LIFETIME_MS: u64 = 600;
 /// Time after the start of a host in which it may not know all others yet: one
-/// pause between watches and one beacon of the slowest interval.
-const VIEW_SETTLES_MS: u64 = 3_000;
-/// Most addresses in an answer of the directory.
+/// pause between watches and one beacon of the longest interval.
+const VIEW_SETTLE_MS: u64 = 3_000;
+/// Most addresses in a response of the directory.
 const MAX_DIRECTORY_ADDRESSES: usize = 64;
 
-/// What a host says about itself.
+/// Identity, place and addresses of a host, as it registers them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostInfo {
     /// Name.
@@ -56,7 +57,7 @@
     pub capacity: u32,
 }
 
-/// Load of one service in a region, as one of its hosts knows it.
+/// Load of one service in a region, from the view of one of the region's hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// The service.
@@ -67,24 +68,24 @@
     pub backlog_ms: u32,
 }
 
-/// What a host sends to other hosts several times a second.
+/// State that a host sends to other hosts periodically.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Beacon {
     /// The sender.
     pub host: HostInfo,
-    /// Unix time of the sender's start; a later run replaces an earlier one.
+    /// Unix time of the sender's start; a later instance replaces an earlier one.
     pub started_ms: u64,
-    /// Number of the beacon in this run.
+    /// Sequence number of the packet in this instance of the sender.
     pub sequence: u64,
-    /// Revision of the store up to which the sender knows all changes.
+    /// Store revision up to which the sender knows all changes.
     pub revision: u64,
-    /// The sender is shutting down.
+    /// Whether the sender is shutting down.
     pub is_leaving: bool,
-    /// Requests in progress, by a hash of the endpoint's id; to its own region.
+    /// Load that the sender places at endpoints; sent to its own region only.
     pub shares: Vec<EndpointLoadShare>,
-    /// Work that waits at the sender, by service; to its own region.
+    /// Work that waits at the sender, by service; sent to its own region only.
     pub queues: Vec<QueueLoad>,
-    /// Loads of the sender's region; to other regions.
+    /// Loads of the sender's region; sent to other regions only.
     pub services: Vec<ServiceLoad>,
 }
 
@@ -93,40 +94,44 @@
 pub struct QueueLoad {
     /// The service.
     pub service: CompactString,
-    /// Time that an endpoint needs for it.
+    /// Time that one endpoint needs for it.
     pub work_ms: u32,
 }
 
+/// Latest known state of another host.
 #[derive(Debug, Clone)]
-struct Known {
+struct PeerState {
     info: HostInfo,
     is_registered: bool,
     is_leaving: bool,
-    run: (u64, u64),
-    heard_ms: Option<u64>,
+    /// Start time and sequence number of the newest packet.
+    last_packet: (u64, u64),
+    last_seen_ms: Option<u64>,
     shares: BTreeMap<u32, LoadShare>,
     queues: Vec<QueueLoad>,
 }
 
-impl Known {
+impl PeerState {
     fn new(info: HostInfo) -> Self {
         Self {
             info,
             is_registered: false,
             is_leaving: false,
-            run: (0, 0),
-            heard_ms: None,
+            last_packet: (0, 0),
+            last_seen_ms: None,
             shares: BTreeMap::new(),
             queues: Vec::new(),
         }
     }
 }
 
+/// Latest load of a service in another region.
 #[derive(Debug, Clone)]
 struct RemoteLoad {
-    at_ms: u64,
+    received_ms: u64,
     load: ServiceLoad,
-    sent_since_ms: f64,
+    /// Work that this host forwarded since the load was received.
+    forwarded_work_ms: f64,
 }
 
 /// All hosts that this host knows, itself included.
@@ -135,39 +140,40 @@
     own: HostInfo,
     is_leaving: bool,
     is_store_reachable: bool,
-    known: BTreeMap<CompactString, Known>,
+    peers: BTreeMap<CompactString, PeerState>,
+    /// By region and service.
     remote_loads: BTreeMap<(CompactString, CompactString), RemoteLoad>,
 }
 
-/// The hosts of this host's region, as it sees them.
+/// The hosts of this host's region, from its own view.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RegionView {
     /// Live hosts, this one included.
     pub host_count: usize,
-    /// Hosts that share the limits of cold endpoints; empty if this host sees
-    /// too few others to take a share.
+    /// Hosts that share the request limits of cold endpoints; empty if this host
+    /// receives beacons from too few others to take a share.
     pub cold_sharers: Vec<CompactString>,
 }
 
 impl Hosts {
-    /// Knows only the host itself.
+    /// Returns a membership with only this host.
     pub fn new(own: HostInfo) -> Self {
         Self {
             own,
             is_leaving: false,
             is_store_reachable: false,
-            known: BTreeMap::new(),
+            peers: BTreeMap::new(),
             remote_loads: BTreeMap::new(),
         }
     }
 
-    /// This host.
+    /// Returns this host.
     pub fn own(&self) -> &HostInfo {
         &self.own
     }
 
     /// Records that this host is shutting down.
-    pub fn leave(&mut self) {
+    pub fn set_leaving(&mut self) {
         self.is_leaving = true;
     }
 
@@ -176,160 +182,163 @@
         self.is_store_reachable = is_reachable;
     }
 
-    /// Takes over the item of a host in the store.
+    /// Applies the item that a host has in the store.
     pub fn register(&mut self, info: HostInfo) {
         if info.name == self.own.name {
             return;
         }
-        let known = self
-            .known
+        let peer = self
+            .peers
             .entry(info.name.clone())
-            .or_insert_with(|| Known::new(info.clone()));
-        known.info = info;
-        known.is_registered = true;
+            .or_insert_with(|| PeerState::new(info.clone()));
+        peer.info = info;
+        peer.is_registered = true;
     }
 
-    /// Records that a host's item is gone from the store.
+    /// Records that a host's item was removed from the store.
     pub fn unregister(&mut self, name: &str) {
-        if let Some(known) = self.known.get_mut(name) {
-            known.is_registered = false;
+        if let Some(peer) = self.peers.get_mut(name) {
+            peer.is_registered = false;
         }
     }
 
-    /// Takes over a beacon; false if it is older than one seen before.
+    /// Applies a beacon; returns false if it is not newer than the last packet of
+    /// its host.
     pub fn apply_beacon(&mut self, beacon: Beacon, now_ms: u64) -> bool {
         if beacon.host.name == self.own.name {
             return false;
         }
-        let run = (beacon.started_ms, beacon.sequence);
-        let known = self
-            .known
+        let packet = (beacon.started_ms, beacon.sequence);
+        let peer = self
+            .peers
             .entry(beacon.host.name.clone())
-            .or_insert_with(|| Known::new(beacon.host.clone()));
-        if run <= known.run {
+            .or_insert_with(|| PeerState::new(beacon.host.clone()));
+        if packet <= peer.last_packet {
             return false;
         }
-        known.run = run;
-        known.heard_ms = Some(now_ms);
-        known.is_leaving = beacon.is_leaving;
+        peer.last_packet = packet;
+        peer.last_seen_ms = Some(now_ms);
+        peer.is_leaving = beacon.is_leaving;
         if beacon.host.region == self.own.region && beacon.services.is_empty() {
-            known.queues = beacon.queues;
-            known.shares = beacon
+            peer.queues = beacon.queues;
+            peer.shares = beacon
                 .shares
                 .into_iter()
-                .map(|told| (told.endpoint, told.share()))
+                .map(|reported| (reported.endpoint, reported.share()))
                 .collect();
         }
         for load in beacon.services {
             let key = (beacon.host.region.clone(), load.service.clone());
-            let fresh = RemoteLoad {
-                at_ms: now_ms,
+            let remote_load = RemoteLoad {
+                received_ms: now_ms,
                 load,
-                sent_since_ms: 0.0,
+                forwarded_work_ms: 0.0,
             };
-            self.remote_loads.insert(key, fresh);
+            self.remote_loads.insert(key, remote_load);
         }
         true
     }
 
-    /// Takes over an update; false if it is older than a packet seen before, or
-    /// of a host that has sent no beacon yet.
+    /// Applies an update; returns false if it is not newer than the last packet of
+    /// its host, or if no beacon of this instance of the host arrived before.
     pub fn apply_load_update(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
-        let Some(known) = self.known.get_mut(&update.host) else {
+        let Some(peer) = self.peers.get_mut(&update.host) else {
             return false;
         };
-        let run = (update.started_ms, update.sequence);
-        if run <= known.run || update.started_ms != known.run.0 {
+        let packet = (update.started_ms, update.sequence);
+        if packet <= peer.last_packet || update.started_ms != peer.last_packet.0 {
             return false;
         }
-        known.run = run;
-        known.heard_ms = Some(now_ms);
-        for told in &update.shares {
-            match told.active {
-                0 => known.shares.remove(&told.endpoint),
-                _ => known.shares.insert(told.endpoint, told.share()),
+        peer.last_packet = packet;
+        peer.last_seen_ms = Some(now_ms);
+        for reported in &update.shares {
+            match reported.active {
+                0 => peer.shares.remove(&reported.endpoint),
+                _ => peer.shares.insert(reported.endpoint, reported.share()),
             };
         }
         true
     }
 
-    /// What all other hosts of the region have at each endpoint, by the hash of
-    /// the endpoint's id.
+    /// Returns the load that all other hosts of the region place at each endpoint,
+    /// by the hash of the endpoint's id.
     pub fn peer_load_shares(&self, now_ms: u64) -> HashMap<u32, LoadShare> {
         let mut totals: HashMap<u32, LoadShare> = HashMap::new();
-        for known in self.known.values() {
-            if !is_heard(known, now_ms) {
+        for peer in self.peers.values() {
+            if !is_recently_seen(peer, now_ms) {
                 continue;
             }
-            let age_ms = now_ms.saturating_sub(known.heard_ms.unwrap_or(0));
-            for (endpoint, share) in &known.shares {
+            let age_ms = now_ms.saturating_sub(peer.last_seen_ms.unwrap_or(0));
+            for (endpoint, share) in &peer.shares {
                 totals
                     .entry(*endpoint)
                     .or_default()
-                    .add(faded(*share, age_ms));
+                    .add(decayed(*share, age_ms));
             }
         }
         totals
     }
 
-    /// Work that waits for a service at the other hosts of the region.
+    /// Returns the work that waits for a service at the other hosts of the region,
+    /// in milliseconds of one endpoint.
     pub fn peer_queue_ms(&self, service: &str, now_ms: u64) -> f64 {
-        self.known
+        self.peers
             .values()
-            .filter(|known| is_heard(known, now_ms))
-            .flat_map(|known| &known.queues)
+            .filter(|peer| is_recently_seen(peer, now_ms))
+            .flat_map(|peer| &peer.queues)
             .filter(|queue| queue.service == service)
             .map(|queue| f64::from(queue.work_ms))
             .sum()
     }
 
-    /// Load of a service in another region, with its age.
+    /// Returns the load of a service in another region and its age in
+    /// milliseconds.
     pub fn remote_load(
         &self,
         region: &str,
         service: &str,
         now_ms: u64,
     ) -> Option<(&ServiceLoad, u64)> {
-        let away = self.remote_loads.get(&(region.into(), service.into()))?;
-        Some((&away.load, now_ms.saturating_sub(away.at_ms)))
+        let remote = self.remote_loads.get(&(region.into(), service.into()))?;
+        Some((&remote.load, now_ms.saturating_sub(remote.received_ms)))
     }
 
-    /// Work sent to another region since its load was last heard, as the time
-    /// that one endpoint needs for it.
+    /// Returns the work forwarded to another region since its load was last
+    /// received, as the time that one endpoint needs for it.
     pub fn remote_sent_ms(&self, region: &str, service: &str) -> f64 {
-        let away = self.remote_loads.get(&(region.into(), service.into()));
-        away.map_or(0.0, |away| away.sent_since_ms)
+        let remote = self.remote_loads.get(&(region.into(), service.into()));
+        remote.map_or(0.0, |remote| remote.forwarded_work_ms)
     }
 
-    /// Records a request sent to another region, which needs `work_ms` there.
+    /// Records a request forwarded to another region, which needs `work_ms` there.
     pub fn record_remote_work(&mut self, region: &str, service: &str, work_ms: f64) {
-        if let Some(away) = self.remote_loads.get_mut(&(region.into(), service.into())) {
-            away.sent_since_ms += work_ms;
+        if let Some(remote) = self.remote_loads.get_mut(&(region.into(), service.into())) {
+            remote.forwarded_work_ms += work_ms;
         }
     }
 
-    /// Live hosts other than this one.
+    /// Returns the live hosts other than this one.
     pub fn live(&self, now_ms: u64) -> impl Iterator<Item = &HostInfo> {
-        self.known
+        self.peers
             .values()
-            .filter(move |known| self.is_live(known, now_ms))
-            .map(|known| &known.info)
+            .filter(move |peer| self.is_live(peer, now_ms))
+            .map(|peer| &peer.info)
     }
 
-    fn is_live(&self, known: &Known, now_ms: u64) -> bool {
-        if known.is_leaving && is_heard(known, now_ms) {
+    fn is_live(&self, peer: &PeerState, now_ms: u64) -> bool {
+        if peer.is_leaving && is_recently_seen(peer, now_ms) {
             return false;
         }
         if self.is_store_reachable {
-            return known.is_registered || is_heard(known, now_ms);
+            return peer.is_registered || is_recently_seen(peer, now_ms);
         }
-        match known.heard_ms {
-            Some(_) if known.info.region == self.own.region => is_heard(known, now_ms),
-            _ => known.is_registered,
+        match peer.last_seen_ms {
+            Some(_) if peer.info.region == self.own.region => is_recently_seen(peer, now_ms),
+            _ => peer.is_registered,
         }
     }
 
-    /// The live hosts of this region.
+    /// Returns the live hosts of this region.
     pub fn region_view(&self, now_ms: u64) -> RegionView {
         let live = self.live(now_ms);
         RegionView {
@@ -338,42 +347,44 @@
         }
     }
 
-    /// Hosts that share the limits of cold endpoints with this one, itself
-    /// included.
+    /// Returns the hosts that share the limits of cold endpoints with this one,
+    /// itself included.
     ///
-    /// Each host takes its share from its own view, so hosts that do not hear
-    /// each other would take the same share twice. A host therefore takes one
-    /// only if it hears half of the hosts that are registered, which at most two
-    /// groups can do, and not shortly after its start.
+    /// Each host computes its share from its own view, so hosts that receive no
+    /// beacons from each other would both use the same share. A host therefore
+    /// takes a share only if it receives beacons from half of the registered
+    /// hosts, which at most two partitions can do, and not shortly after its
+    /// start.
     fn cold_sharers(&self, now_ms: u64) -> Vec<CompactString> {
         let own_region = || {
-            let known = self.known.values();
-            known.filter(|known| known.info.region == self.own.region)
+            let peers = self.peers.values();
+            peers.filter(|peer| peer.info.region == self.own.region)
         };
-        let heard: Vec<CompactString> = own_region()
-            .filter(|known| is_heard(known, now_ms))
-            .map(|known| known.info.name.clone())
+        let seen: Vec<CompactString> = own_region()
+            .filter(|peer| is_recently_seen(peer, now_ms))
+            .map(|peer| peer.info.name.clone())
             .chain([self.own.name.clone()])
             .collect();
-        let possible = own_region()
-            .filter(|known| known.is_registered || is_heard(known, now_ms))
+        let candidate_count = own_region()
+            .filter(|peer| peer.is_registered || is_recently_seen(peer, now_ms))
             .count()
             + 1;
-        if now_ms < VIEW_SETTLES_MS || heard.len() * 2 < possible {
+        if now_ms < VIEW_SETTLE_MS || seen.len() * 2 < candidate_count {
             return Vec::new();
         }
-        heard
+        seen
     }
 
-    /// Number of live hosts, this one included.
+    /// Returns the number of live hosts, this one included.
     pub fn live_count(&self, now_ms: u64) -> usize {
         1 + self.live(now_ms).count()
     }
 
-    /// Addresses for a caller in a region and data centre, best ones only.
+    /// Returns the addresses of the hosts that suit a caller in a region and data
+    /// centre best.
     ///
-    /// While the caller's region has no host, another one is named: the one with
-    /// most `home_routes`, since a request may be bound to certain regions.
+    /// If the caller's region has no live host, they are hosts of the regions with
+    /// the most `home_routes`, because a route may be restricted to some regions.
     pub fn directory<F>(
         &self,
         region: &str,
@@ -386,19 +397,20 @@
     {
         let own = (!self.is_leaving).then_some(&self.own);
         let live: Vec<&HostInfo> = self.live(now_ms).chain(own).collect();
-        let same = |keep: &dyn Fn(&HostInfo) -> bool| -> Vec<&HostInfo> {
+        let select = |keep: &dyn Fn(&HostInfo) -> bool| -> Vec<&HostInfo> {
             live.iter().copied().filter(|host| keep(host)).collect()
         };
-        let near = same(&|host| host.data_centre == data_centre);
-        let in_region = same(&|host| host.region == region);
-        // Too few hosts nearby would carry the load of their lost neighbours.
+        let near = select(&|host| host.data_centre == data_centre);
+        let in_region = select(&|host| host.region == region);
+        // If only a few hosts of the data centre are left, they would get the
+        // load of all the lost ones.
         let chosen = if !near.is_empty() && near.len() * 4 >= in_region.len() {
             near
         } else if !in_region.is_empty() {
             in_region
         } else {
             let best = live.iter().map(|host| home_routes(&host.region)).max();
-            same(&|host| Some(home_routes(&host.region)) == best)
+            select(&|host| Some(home_routes(&host.region)) == best)
         };
         chosen
             .into_iter()
@@ -408,9 +420,9 @@
     }
 }
 
-/// A share as it probably is some time after it was told: prompts are read in
-/// the meantime.
-fn faded(share: LoadShare, age_ms: u64) -> LoadShare {
+/// Estimates a share at `age_ms` after it was reported: its prompts are prefilled
+/// in the meantime.
+fn decayed(share: LoadShare, age_ms: u64) -> LoadShare {
     let left_ms = BACKLOG_LIFETIME_MS.saturating_sub(age_ms);
     LoadShare {
         backlog_tokens: share.backlog_tokens * left_ms / BACKLOG_LIFETIME_MS,
@@ -418,8 +430,7 @@
     }
 }
 
-fn is_heard(known: &Known, now_ms: u64) -> bool {
-    known
-        .heard_ms
-        .is_some_and(|heard_ms| now_ms < heard_ms + SILENCE_MS)
+fn is_recently_seen(peer: &PeerState, now_ms: u64) -> bool {
+    peer.last_seen_ms
+        .is_some_and(|last_seen_ms| now_ms < last_seen_ms + SILENCE_LIMIT_MS)
 }
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -152,7 +152,7 @@
             "stopping; requests in progress are finished"
         );
         self.leave_started_ms = Some(now_ms);
-        self.hosts.leave();
+        self.hosts.set_leaving();
         self.next_beacon_ms = 0;
         self.next_away_beacon_ms = 0;
     }
