--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -1,10 +1,10 @@
-//! What hosts of a region tell each other about the endpoints they share.
+//! Updates that the hosts of a region send each other about endpoint load.
 //!
-//! This answers the load at which many hosts place requests at the same time:
-//! an endpoint that looks idle in an old view gets a prompt from each of them.
-//! A host therefore tells each send at once, with what the endpoint then has
-//! from it and which shared prompt parts it reads. Beacons carry the same loads
-//! less often, so that an update that is lost does no lasting harm.
+//! They serve the case in which many hosts place requests at the same time: an
+//! endpoint that looks idle in an outdated view gets a prompt from each of them.
+//! A host therefore reports each send at once, with its load at the endpoint and
+//! the shared prompt parts that the endpoint prefills. Beacons carry the same
+//! loads less often, so that a lost update has no lasting effect.
 
 use std::collections::BTreeSet;
 
@@ -22,47 +22,50 @@
     request::Call, //
 };
 
-/// Interval of updates after a send, for each other host of the region, so that
-/// a host receives at most a thousand a second whatever the size of the region.
+/// Interval of updates after a send, per other host of the region, so that a host
+/// receives at most a thousand a second whatever the size of the region.
 const SEND_INTERVAL_PER_HOST_MS: u64 = 1;
-/// Shortest interval of updates: the time on the way between data centres.
+/// Shortest interval of updates: the network latency between data centres.
 const MIN_SEND_INTERVAL_MS: u64 = 5;
-/// Factor on the interval for changes that only free an endpoint.
+/// Factor on the interval for changes that only reduce an endpoint's load.
 const RELEASE_FACTOR: u64 = 5;
-/// Most endpoints, sends and blocks in an update, so that it fits into one packet.
+/// Most endpoints in an update, so that it fits into one packet.
 const MAX_SHARES: usize = 24;
+/// Most sends in an update, for the same reason.
 const MAX_SENDS: usize = 10;
+/// Most blocks in an update, for the same reason.
 const MAX_BLOCKS: usize = 8;
-/// Most shared parts that are told of one prompt.
+/// Most shared parts that are reported of one prompt.
 const MAX_PARTS: usize = 4;
 
 /// A packet between hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
-    /// The regular one, to all regions.
+    /// Periodic state of the sender; sent to all regions.
     Beacon(Beacon),
-    /// Changes since the last one, to the own region.
+    /// Changes since the last packet; sent to the sender's region only.
     LoadUpdate(LoadUpdate),
 }
 
-/// Changes of what a host has at endpoints.
+/// Changes of the load that a host places at endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadUpdate {
     /// Name of the sender.
     pub host: CompactString,
     /// Unix time of the sender's start.
     pub started_ms: u64,
-    /// Number of the packet in this run.
+    /// Sequence number of the packet in this instance of the sender.
     pub sequence: u64,
-    /// Loads that changed, as they are now.
+    /// Current loads at the endpoints where they changed.
     pub shares: Vec<EndpointLoadShare>,
     /// Prompts that were sent.
     pub sends: Vec<SentPrompt>,
-    /// Endpoints that turned out to be gone.
+    /// Endpoints that the sender could not reach or found replaced.
     pub blocks: Vec<EndpointBlock>,
 }
 
-/// An endpoint that a host could not reach, or that another one has replaced.
+/// An endpoint that the sender could not reach, or whose address now belongs to
+/// another endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointBlock {
     /// Hash of the endpoint's id.
@@ -71,7 +74,7 @@
     pub for_ms: u32,
 }
 
-/// What a host has at one endpoint.
+/// Load that a host places at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoadShare {
     /// Hash of the endpoint's id.
@@ -80,12 +83,12 @@
     pub active: u32,
     /// Prompt tokens of requests without a first event.
     pub backlog_tokens: u32,
-    /// Tokens of all requests in progress.
+    /// Engine memory that all requests in progress reserve, in tokens.
     pub reserved_tokens: u32,
 }
 
 impl EndpointLoadShare {
-    /// The share of an endpoint with this hash.
+    /// Encodes a share at the endpoint with this hash.
     pub fn new(endpoint: u32, share: LoadShare) -> Self {
         Self {
             endpoint,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The share without the endpoint.
+    /// Returns the share without the endpoint.
     pub fn share(&self) -> LoadShare {
         LoadShare {
             active: self.active,
@@ -110,28 +113,28 @@
 pub struct SentPrompt {
     /// Hash of the endpoint's id.
     pub endpoint: u32,
-    /// Memory that it takes, in tokens.
+    /// Engine memory that the request reserves, in tokens.
     pub reserved_tokens: u32,
-    /// Tokens of it that the endpoint has to read.
+    /// Tokens that the endpoint has to prefill.
     pub prefill_tokens: u32,
-    /// Predicted time until it has been read.
+    /// Predicted time until the prompt has been prefilled.
     pub prefill_ms: u32,
-    /// Its shared parts, in order.
+    /// Ids of the shared parts, in order.
     pub parts: Vec<u64>,
 }
 
-/// What one update tells.
+/// Changes that go into one update.
 #[derive(Debug, Default)]
 pub struct LoadChanges {
-    /// Endpoints at which the host has something else than before.
+    /// Endpoints at which this host's load has changed.
     pub endpoints: Vec<CompactString>,
     /// Prompts that were sent.
     pub sends: Vec<SentPrompt>,
-    /// Endpoints that turned out to be gone.
+    /// Endpoints that this host could not reach or found replaced.
     pub blocks: Vec<EndpointBlock>,
 }
 
-/// Changes that were not told yet.
+/// Changes that have not been sent yet.
 #[derive(Debug, Default)]
 pub struct PendingUpdate {
     changed: BTreeSet<CompactString>,
@@ -142,7 +145,7 @@
 }
 
 impl PendingUpdate {
-    /// Records that what the host has at an endpoint has changed.
+    /// Records that this host's load at an endpoint has changed.
     pub fn record_change(&mut self, endpoint: &CompactString) {
         if !self.changed.contains(endpoint) {
             self.changed.insert(endpoint.clone());
@@ -162,7 +165,7 @@
         });
     }
 
-    /// Records that the host does not use an endpoint for a while.
+    /// Records that this host does not use an endpoint for `for_ms`.
     pub fn record_block(&mut self, hash: u32, for_ms: u64) {
         self.blocks.push(EndpointBlock {
             endpoint: hash,
@@ -170,9 +173,9 @@
         });
     }
 
-    /// What is to be told now, with `peer_count` other hosts in the region.
+    /// Returns the changes that are due with `peer_count` other hosts in the region.
     ///
-    /// What does not fit into one packet is left for the next one.
+    /// Changes that do not fit into one packet stay for the next one.
     pub fn take_due(&mut self, peer_count: usize, now_ms: u64) -> Option<LoadChanges> {
         let is_urgent = !self.sends.is_empty() || !self.blocks.is_empty();
         let due_ms = match is_urgent {
@@ -202,7 +205,7 @@
 }
 
 impl Reactor {
-    /// Tells the hosts of the region what has changed, if that is due.
+    /// Sends an update to the hosts of the region, if one is due.
     pub(super) fn send_load_update(&mut self, now_ms: u64) {
         let peer_count = self.region_view.host_count.saturating_sub(1);
         let Some(changes) = self.pending_update.take_due(peer_count, now_ms) else {
@@ -230,7 +233,7 @@
         self.send_packet(&Packet::LoadUpdate(update), &peers);
     }
 
-    /// Takes over the update of another host.
+    /// Applies the update of another host; returns false if it is outdated.
     pub(super) fn apply_load_update(&mut self, update: &LoadUpdate, now_ms: u64) -> bool {
         if !self.hosts.apply_load_update(update, now_ms) {
             return false;
