--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -1,9 +1,9 @@
-//! One endpoint: what it announces, what it was sent, and how it answers.
+//! State of one endpoint: its announcement, its load, and how it responds.
 //!
-//! Load is known from this host's own requests, from what the other hosts of
-//! the region say they sent, and from the load that answers carry. Speed and
-//! health are judged by answers alone, because announcements and health checks
-//! can be wrong.
+//! Load is computed from this host's own requests, from the reports of the other
+//! hosts of the region, and from the load that responses carry. Speed and health
+//! are derived from responses alone, because announcements and health checks can
+//! be wrong.
 
 use std::{
     collections::HashMap,
@@ -24,37 +24,38 @@
 
 /// Weight of a new observation in a moving average.
 const EWMA_WEIGHT: f64 = 0.15;
-/// First block after a failure to reach an endpoint; doubles with each one.
-const FIRST_BLOCK_MS: u64 = 500;
-/// Longest block: one heartbeat of an endpoint's announcement is about a second,
-/// so a longer one would outlast what the announcement shows.
+/// First block after a failure to reach an endpoint; each further one doubles it.
+const INITIAL_BLOCK_MS: u64 = 500;
+/// Longest block. An endpoint renews its announcement about every second, so a
+/// longer block would outlast the information in it.
 const MAX_BLOCK_MS: u64 = 4_000;
-/// Failures in a row, after the connection was made, that block an endpoint.
+/// Consecutive failures after the connection was made that block an endpoint.
 const FAILURES_TO_BLOCK: u32 = 3;
-/// How long a reported load is believed.
+/// Age at which a load that a response carried is no longer used.
 const REPORT_LIFETIME_MS: u64 = 1_000;
-/// Time over which the reading of an endpoint is averaged: the run of a stream.
+/// Time constant of the moving sum of prefilled tokens: the duration of a stream.
 const PREFILL_DECAY_MS: f64 = 2_000.0;
-/// Parts remembered for one endpoint; older ones are forgotten first.
+/// Prompt parts remembered for one endpoint; the least recently used are dropped
+/// first.
 const MAX_PARTS: usize = 512;
-/// Slowness is kept in this range, so that one observation cannot exclude an
-/// endpoint for good.
+/// Limits of the slowness, so that one observation cannot exclude an endpoint
+/// permanently.
 const SLOWNESS_RANGE: (f64, f64) = (0.5, 12.0);
 
 /// Window in which requests to a cold endpoint are counted. The platform counts
-/// whole seconds; the rest covers differences in the time on the way.
+/// whole seconds; the rest covers differences in network latency.
 const COLD_WINDOW_MS: u64 = 1_150;
-/// Pause after an endpoint refused a request for lack of room.
+/// Pause after an endpoint refused a request for lack of capacity.
 const SHED_PAUSE_MS: u64 = 60;
-/// Longest prompt that counts as quick: two chunks of a batching engine.
+/// Longest prompt that counts as short: two prefill chunks of a batching engine.
 const SHORT_PROMPT_TOKENS: u64 = 2_048;
 
 /// State that an endpoint announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It leaves and takes no new requests.
+    /// The endpoint is shutting down and accepts no new requests.
     Draining,
 }
 
@@ -63,45 +64,45 @@
 pub struct Announcement {
     /// Its service.
     pub service: CompactString,
-    /// Where it accepts connections.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: CompactString,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub stage: Stage,
-    /// How long it stays cold.
+    /// Time for which it stays cold.
     pub cold_left_ms: u64,
-    /// How long it exists, if it was told to leave at short notice.
+    /// Time until it ends, if it was asked to shut down at short notice.
     pub remaining_ms: Option<u64>,
-    /// Unix time of its start, which tells one run from the next.
+    /// Unix time of its start, which distinguishes it from earlier instances.
     pub started_ms: u64,
 }
 
-/// How sure a failure is to come from the endpoint.
+/// How a request failed at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection could be made.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection broke, or the answer was unusable.
+    /// The connection broke, or the response was invalid.
     Broken,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint responded with an error.
     Error,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Shed,
-    /// Another endpoint listens at its address.
+    /// Another endpoint listens at the address.
     Replaced,
 }
 
-/// What one host has at one endpoint.
+/// Load that one or more hosts place at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadShare {
     /// Requests in progress.
     pub active: u32,
     /// Prompt tokens of requests without a first event.
     pub backlog_tokens: u64,
-    /// Tokens of all requests in progress.
+    /// Engine memory that all requests in progress reserve, in tokens.
     pub reserved_tokens: u64,
 }
 
@@ -114,51 +115,55 @@
     }
 }
 
-/// A prompt part that an endpoint has read, or will have read soon.
+/// A prompt part that an endpoint has prefilled or will soon have prefilled.
 #[derive(Debug, Clone, Copy)]
 struct CachedPart {
-    /// Tokens that requests had taken in the endpoint's memory at its last use.
+    /// Value of [`Endpoint::total_reserved_tokens`] at its last use.
     last_used_at_tokens: u64,
-    /// When the endpoint has read it.
+    /// When the endpoint has prefilled it.
     prefilled_at_ms: u64,
 }
 
-/// An endpoint and what this host knows about it.
+/// An endpoint with this host's view of its load, speed and health.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Identity.
+    /// Id under which it is announced.
     pub id: CompactString,
-    /// Hash of the identity, its short name between hosts.
+    /// Hash of the id, which identifies the endpoint in packets between hosts.
     pub hash: u32,
     /// Latest announcement.
     pub announcement: Announcement,
     /// Region of its data centre.
     pub region: CompactString,
-    /// When its announcement ends; after that it only finishes its work.
+    /// When its announcement ends; afterwards it gets no new requests.
     withdrawn_at_ms: Option<u64>,
-    /// What this host sent.
+    /// Load of this host's requests.
     pub own_load: LoadShare,
-    /// What the other hosts of the region say they sent.
+    /// Load that the other hosts of the region report.
     pub peer_load: LoadShare,
     cold_until_ms: u64,
-    last_cold_send_ms: Vec<u64>,
+    cold_sends_ms: Vec<u64>,
+    /// Latest load from a response, with the time at which it arrived.
     reported: Option<(u64, EndpointLoad)>,
     slowness: f64,
     error_rate: f64,
-    failures: u32,
+    consecutive_failures: u32,
     blocked_until_ms: u64,
-    block_ms: u64,
+    next_block_ms: u64,
+    /// After a block, only one request is sent at a time until one succeeds.
     is_probing: bool,
     parts: HashMap<u64, CachedPart>,
-    /// Prompt tokens that all hosts sent lately, fading with [`PREFILL_DECAY_MS`].
+    /// Prompt tokens that all hosts sent recently; decays exponentially with
+    /// [`PREFILL_DECAY_MS`].
     recent_prefill_tokens: f64,
     recent_prefill_at_ms: u64,
-    /// Tokens that requests of all hosts took up in the endpoint's memory.
+    /// Engine memory that requests of all hosts have reserved so far, in tokens;
+    /// never decreases, and serves as the clock of cache eviction.
     total_reserved_tokens: u64,
 }
 
 impl Endpoint {
-    /// An endpoint that was just announced.
+    /// Creates the state of an endpoint that was just announced.
     pub fn new(
         id: CompactString,
         region: CompactString,
@@ -174,13 +179,13 @@
             withdrawn_at_ms: None,
             own_load: LoadShare::default(),
             peer_load: LoadShare::default(),
-            last_cold_send_ms: Vec::new(),
+            cold_sends_ms: Vec::new(),
             reported: None,
             slowness: 1.0,
             error_rate: 0.0,
-            failures: 0,
+            consecutive_failures: 0,
             blocked_until_ms: 0,
-            block_ms: FIRST_BLOCK_MS,
+            next_block_ms: INITIAL_BLOCK_MS,
             is_probing: false,
             parts: HashMap::new(),
             recent_prefill_tokens: 0.0,
@@ -189,9 +194,10 @@
         }
     }
 
-    /// Takes over a newer announcement.
+    /// Applies a newer announcement.
     ///
-    /// A restarted endpoint keeps nothing, so what was learned is dropped.
+    /// A restarted endpoint keeps no state, so what was learned about it is
+    /// dropped.
     pub fn apply_announcement(&mut self, announcement: Announcement, now_ms: u64) {
         let is_restarted = announcement.started_ms != self.announcement.started_ms
             || announcement.address != self.announcement.address;
@@ -208,28 +214,29 @@
         self.announcement = announcement;
     }
 
-    /// Records that the endpoint stays cold for so long.
+    /// Records that the endpoint stays cold for at least `left_ms`.
     pub fn set_cold(&mut self, left_ms: u64, now_ms: u64) {
         self.cold_until_ms = self.cold_until_ms.max(now_ms + left_ms);
     }
 
-    /// Whether the endpoint is cold.
+    /// Returns whether the endpoint is cold.
     pub fn is_cold(&self, now_ms: u64) -> bool {
         now_ms < self.cold_until_ms
     }
 
-    /// Ends the announcement at a time, unless it ended before.
+    /// Ends the announcement at `at_ms`, unless it ends earlier.
     pub fn withdraw(&mut self, at_ms: u64) {
-        let ends_ms = self.withdrawn_at_ms.unwrap_or(at_ms);
-        self.withdrawn_at_ms = Some(ends_ms.min(at_ms));
+        let current_ms = self.withdrawn_at_ms.unwrap_or(at_ms);
+        self.withdrawn_at_ms = Some(current_ms.min(at_ms));
     }
 
-    /// Whether the announcement stands.
+    /// Returns whether the endpoint is still announced.
     pub fn is_announced(&self, now_ms: u64) -> bool {
         self.withdrawn_at_ms.is_none_or(|at_ms| now_ms < at_ms)
     }
 
-    /// Whether new requests may go to the endpoint, its load aside.
+    /// Returns whether new requests may be sent to the endpoint, regardless of its
+    /// load.
     pub fn is_usable(&self, now_ms: u64) -> bool {
         self.is_announced(now_ms)
             && self.announcement.stage == Stage::Ready
@@ -237,10 +244,11 @@
             && !(self.is_probing && self.own_load.active > 0)
     }
 
-    /// Whether one more request may be sent in this second to a cold endpoint.
+    /// Returns whether one more request may be sent to the cold endpoint now, if it
+    /// may get `per_second` requests a second.
     pub fn has_cold_allowance(&self, per_second: u32, now_ms: u64) -> bool {
         let recent = self
-            .last_cold_send_ms
+            .cold_sends_ms
             .iter()
             .filter(|sent_ms| now_ms < **sent_ms + COLD_WINDOW_MS)
             .count();
@@ -255,13 +263,13 @@
         self.total_reserved_tokens += work.reserved_tokens;
         self.record_prefill(work.uncached_tokens, now_ms);
         if self.is_cold(now_ms) {
-            self.last_cold_send_ms
+            self.cold_sends_ms
                 .retain(|sent_ms| now_ms < *sent_ms + COLD_WINDOW_MS);
-            self.last_cold_send_ms.push(now_ms);
+            self.cold_sends_ms.push(now_ms);
         }
     }
 
-    /// Records that a request's prompt has been read.
+    /// Records that a request's prompt has been prefilled.
     pub fn record_first_event(&mut self, work: Work) {
         self.own_load.backlog_tokens = self
             .own_load
@@ -281,15 +289,16 @@
         }
     }
 
-    /// Records a good answer that began after `actual_ms` instead of `predicted_ms`.
+    /// Records a successful response that began after `actual_ms` instead of
+    /// `predicted_ms`.
     pub fn record_success(&mut self, actual_ms: f64, predicted_ms: f64) {
         let ratio = self.slowness * actual_ms / predicted_ms.max(1.0);
         let (low, high) = SLOWNESS_RANGE;
         self.slowness += EWMA_WEIGHT * (ratio.clamp(low, high) - self.slowness);
         self.error_rate -= EWMA_WEIGHT * self.error_rate;
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.is_probing = false;
-        self.block_ms = FIRST_BLOCK_MS;
+        self.next_block_ms = INITIAL_BLOCK_MS;
     }
 
     /// Records a failure; returns whether the endpoint is blocked because of it.
@@ -302,26 +311,26 @@
         if failure == Failure::Error {
             return false;
         }
-        self.failures += 1;
+        self.consecutive_failures += 1;
         if failure == Failure::Replaced {
-            self.block_ms = MAX_BLOCK_MS;
+            self.next_block_ms = MAX_BLOCK_MS;
         }
-        let blocks = matches!(failure, Failure::Unreachable | Failure::Replaced)
+        let is_blocking = matches!(failure, Failure::Unreachable | Failure::Replaced)
             || self.is_probing
-            || self.failures >= FAILURES_TO_BLOCK;
-        if !blocks || now_ms < self.blocked_until_ms {
+            || self.consecutive_failures >= FAILURES_TO_BLOCK;
+        if !is_blocking || now_ms < self.blocked_until_ms {
             return false;
         }
-        self.blocked_until_ms = now_ms + self.block_ms;
-        self.block_ms = (self.block_ms * 2).min(MAX_BLOCK_MS);
+        self.blocked_until_ms = now_ms + self.next_block_ms;
+        self.next_block_ms = (self.next_block_ms * 2).min(MAX_BLOCK_MS);
         self.is_probing = true;
         true
     }
 
-    /// Takes over that another host cannot use the endpoint for a while.
+    /// Applies another host's block of the endpoint.
     ///
-    /// A host may be cut off alone, so requests of this host that still run at
-    /// the endpoint count for more.
+    /// That host alone may have lost its connection to the endpoint, so the block
+    /// is ignored while this host has requests in progress there.
     pub fn apply_peer_block(&mut self, for_ms: u64, now_ms: u64) {
         if self.own_load.active > 0 {
             return;
@@ -331,12 +340,12 @@
         self.is_probing = true;
     }
 
-    /// Takes over the load that an answer carries.
+    /// Records the load that a response carries.
     pub fn record_reported_load(&mut self, load: EndpointLoad, now_ms: u64) {
         self.reported = Some((now_ms, load));
     }
 
-    /// Requests at the endpoint, from all that is known.
+    /// Returns the estimated number of requests at the endpoint.
     pub fn load(&self, now_ms: u64) -> f64 {
         let known = f64::from(self.own_load.active + self.peer_load.active);
         match self.reported {
@@ -349,7 +358,8 @@
         }
     }
 
-    /// Remembers which parts of a prompt the endpoint has read at `prefilled_at_ms`.
+    /// Remembers the parts of a prompt, which the endpoint will have prefilled at
+    /// `prefilled_at_ms`.
     pub fn record_prompt(&mut self, call: &Call, prefilled_at_ms: u64) {
         for part in &call.parts {
             self.record_part(part.id, prefilled_at_ms);
@@ -375,8 +385,8 @@
         self.recent_prefill_tokens * (-age_ms / PREFILL_DECAY_MS).exp()
     }
 
-    /// Share of the time that the endpoint lately spent on reading prompts, if
-    /// it needs `prefill_ms_per_token` for each token.
+    /// Returns the share of recent time that the endpoint spent on prefill, if it
+    /// needs `prefill_ms_per_token` for each token.
     pub fn prefill_share(&self, prefill_ms_per_token: f64, now_ms: u64) -> f64 {
         self.recent_prefill_tokens(now_ms) * prefill_ms_per_token / PREFILL_DECAY_MS
     }
@@ -386,9 +396,9 @@
             let uses = self.parts.values().map(|known| known.last_used_at_tokens);
             let mut uses: Vec<u64> = uses.collect();
             let (_, median, _) = uses.select_nth_unstable(MAX_PARTS / 2);
-            let oldest_kept = *median;
+            let median_use = *median;
             self.parts
-                .retain(|_, known| known.last_used_at_tokens > oldest_kept);
+                .retain(|_, known| known.last_used_at_tokens > median_use);
         }
         let last_used_at_tokens = self.total_reserved_tokens;
         let known = self.parts.entry(part).or_insert(CachedPart {
@@ -399,12 +409,13 @@
         known.prefilled_at_ms = known.prefilled_at_ms.min(prefilled_at_ms);
     }
 
-    /// Tokens at the start of the prompt that the endpoint has probably cached.
+    /// Returns the number of tokens at the start of the prompt that the endpoint
+    /// has probably cached.
     ///
-    /// An endpoint drops the parts that were not used for longest, so a part is
-    /// there until requests have taken `lifetime_tokens` more.
-    /// Parts that it only reads until `by_ms` count as well: it reads prompts in
-    /// the order of their arrival.
+    /// An endpoint evicts the least recently used parts, so a part stays cached
+    /// until requests have reserved `lifetime_tokens` more. Parts that are
+    /// prefilled by `by_ms` count as well, because the endpoint prefills prompts
+    /// in the order of their arrival.
     pub fn cached_tokens(&self, call: &Call, lifetime_tokens: u64, by_ms: u64) -> u64 {
         let is_cached = |id: &u64| {
             self.parts.get(id).is_some_and(|known| {
@@ -419,17 +430,17 @@
             .sum()
     }
 
-    /// Factor on predicted times, learned from answers.
+    /// Returns the factor on predicted times, learned from responses.
     pub fn slowness(&self) -> f64 {
         self.slowness
     }
 
-    /// Share of answers that failed, as a moving average.
+    /// Returns the share of requests that failed, as a moving average.
     pub fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Earliest time at which a blocked endpoint is tried again.
+    /// Returns the earliest time at which a blocked endpoint is tried again.
     pub fn blocked_until_ms(&self) -> u64 {
         self.blocked_until_ms
     }
@@ -438,14 +449,15 @@
 /// Size of a request at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Work {
-    /// Prompt tokens that the endpoint has to read.
+    /// Prompt tokens that the endpoint has to prefill.
     pub uncached_tokens: u64,
-    /// Memory that the request takes.
+    /// Engine memory that the request reserves, in tokens.
     pub reserved_tokens: u64,
 }
 
 impl Work {
-    /// The work of `call` at an endpoint that has cached the first tokens.
+    /// Returns the work of `call` at an endpoint that has cached the first
+    /// `cached_tokens` of its prompt.
     pub fn new(call: &Call, cached_tokens: u64) -> Self {
         let prompt = call.prompt.0;
         let uncached_tokens = prompt.saturating_sub(cached_tokens);
@@ -457,14 +469,15 @@
 }
 
 impl Work {
-    /// Whether the prompt is read within a few steps of an engine, so that it
-    /// delays others little.
+    /// Returns whether an engine prefills the prompt within a few steps, so that it
+    /// delays other requests little.
     pub fn is_short_prompt(&self) -> bool {
         self.uncached_tokens <= SHORT_PROMPT_TOKENS
     }
 }
 
-/// Requests that a service's endpoints run at once.
+/// Returns the number of requests that an endpoint runs concurrently: the
+/// service's setting if it has one, otherwise the announced number.
 pub fn slots_of(endpoint: &Endpoint, service: Option<&Service>) -> f64 {
     let configured = service.and_then(|service| service.engine);
     let configured = configured.map(|engine| engine.slots);
