--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -98,7 +98,7 @@
         ServiceIntent, //
     },
     outcome::Unsent,
-    peer::measure as peer_measure,
+    peer::gossip,
     plan::{
         Plan,
         PlanRules, //
@@ -623,14 +623,14 @@
     let over_hosts: Vec<_> = sizes
         .gossip_hosts
         .iter()
-        .map(|&hosts| peer_measure::measure(hosts, sizes.gossip_host_endpoints, seconds))
+        .map(|&hosts| gossip::measure_region(hosts, sizes.gossip_host_endpoints, seconds))
         .collect();
     let over_endpoints: Vec<_> = sizes
         .gossip_endpoints
         .iter()
-        .map(|&endpoints| peer_measure::measure(sizes.gossip_endpoint_hosts, endpoints, seconds))
+        .map(|&endpoints| gossip::measure_region(sizes.gossip_endpoint_hosts, endpoints, seconds))
         .collect();
-    type Value = fn(&peer_measure::GossipCost) -> f64;
+    type Value = fn(&gossip::GossipCost) -> f64;
     let costs: [(&'static str, Value); 5] = [
         ("sent+received B/s", |cost| cost.mean_bytes_per_s),
         ("busiest host B/s", |cost| cost.max_bytes_per_s),
@@ -661,9 +661,9 @@
     let over_regions: Vec<_> = sizes
         .gossip_regions
         .iter()
-        .map(|&regions| peer_measure::measure_regions(regions, 3, seconds))
+        .map(|&regions| gossip::measure_cross_region(regions, 3, seconds))
         .collect();
-    type RegionValue = fn(&peer_measure::CrossRegionCost) -> f64;
+    type RegionValue = fn(&gossip::CrossRegionCost) -> f64;
     let costs: [(&'static str, RegionValue); 4] = [
         ("sent+received B/s", |cost| cost.mean_bytes_per_s),
         ("cpu us/s", |cost| cost.cpu_micros_per_s),
--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -32,11 +32,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-pub use super::measure::{
+pub use super::simulation::{
     CrossRegionCost,
     GossipCost,
-    measure,
-    measure_regions, //
+    measure_cross_region,
+    measure_region, //
 };
 pub use super::store::{
     GossipEvent,
@@ -90,57 +90,57 @@
 /// to configuration changes over TCP.
 pub const DEFAULT_BUDGET_BYTES_PER_S: u64 = 10_000;
 /// Hosts that write to other regions.
-const DELEGATES: usize = 3;
+const DELEGATES_PER_REGION: usize = 3;
 /// Time between rounds while the budget allows it.
-const ROUND_MS: Millis = Millis(200);
+const ROUND_INTERVAL_MS: Millis = Millis(200);
 /// Time until the next look when this host has no heartbeat yet.
-const WITHOUT_HEARTBEAT_MS: Millis = Millis(20);
+const NO_HEARTBEAT_RETRY_MS: Millis = Millis(20);
 /// A round happens at least this often, with one datagram if need be.
-const MAX_ROUND_MS: Millis = Millis(1_000);
+const MAX_ROUND_INTERVAL_MS: Millis = Millis(1_000);
 /// Hosts of the region that are written to in one round.
 const FANOUT: usize = 2;
 /// Other regions that a delegate writes to in one round.
-const CROSS_FANOUT: usize = 2;
+const CROSS_REGION_FANOUT: usize = 2;
 /// Short heartbeats older than this are not passed on.
-const BEAT_RELAY_MS: Millis = Millis(5_000);
+const MAX_RELAYED_HEARTBEAT_AGE_MS: Millis = Millis(5_000);
 /// Part of a datagram that changed facts may take, in percent.
-const CHANGED_ROOM_PERCENT: usize = 60;
+const FULL_RECORDS_SHARE_PERCENT: usize = 60;
 /// Part of a datagram that short heartbeats may take, in percent. With 70 the 99th
 /// percentile of the age of loads rose from 4.6 s to 7.3 s.
-const BEAT_ROOM_PERCENT: usize = 50;
+const HEARTBEATS_SHARE_PERCENT: usize = 50;
 /// Part of the rest that states of other regions may take, in percent.
-const REGION_ROOM_PERCENT: usize = 40;
+const SUMMARIES_SHARE_PERCENT: usize = 40;
 /// Most short names asked for, or spelled out, in one datagram.
-const MAX_WANTED: usize = 40;
+const MAX_REQUESTED_IDS: usize = 40;
 /// Extra sends of a load before others go first. None instead of one made
 /// the median age of loads 1.5 s instead of 1.3 s in the full-size measurement.
-const EXTRA_LOAD_SENDS: u32 = 1;
+const EXTRA_REPORT_SENDS: u32 = 1;
 /// The same for short heartbeats.
-const EXTRA_BEAT_SENDS: u32 = 1;
+const EXTRA_HEARTBEAT_SENDS: u32 = 1;
 /// Time between two unchanged facts that are sent in full anyway.
-const REFRESH_MS: Millis = Millis(1_000);
+const REFRESH_INTERVAL_MS: Millis = Millis(1_000);
 /// Time between two requests for missing facts.
-const ASK_INTERVAL_MS: Millis = Millis(100);
+const RECORD_REQUEST_INTERVAL_MS: Millis = Millis(100);
 /// First and longest time between contacts of a silent seed.
-const SEED_RETRY_MS: Millis = Millis(500);
-const MAX_SEED_RETRY_MS: Millis = Millis(8_000);
+const SEED_RETRY_INTERVAL_MS: Millis = Millis(500);
+const MAX_SEED_RETRY_INTERVAL_MS: Millis = Millis(8_000);
 /// The same for a host that knows no other host of its region. Without it, a
 /// host that lost four exchanges in a row stayed alone for 16 s.
-const MAX_ALONE_RETRY_MS: Millis = Millis(2_000);
+const MAX_ISOLATED_RETRY_INTERVAL_MS: Millis = Millis(2_000);
 /// Hosts named to a newcomer while this host is over its budget.
-const SHORT_GREETING_HOSTS: usize = 3;
+const SHORT_HELLO_HOSTS: usize = 3;
 /// A seed silent for this long is contacted again by delegates.
-const SEED_SILENT_MS: Millis = Millis(30_000);
+const SEED_SILENCE_MS: Millis = Millis(30_000);
 /// Time between two contacts of silent hosts by all hosts of a region, and by
 /// one host at least.
-const PROBE_SHARE_MS: Millis = Millis(250);
-const MIN_PROBE_MS: Millis = Millis(1_000);
+const REGION_PROBE_INTERVAL_MS: Millis = Millis(250);
+const MIN_HOST_PROBE_INTERVAL_MS: Millis = Millis(1_000);
 /// Time between two notes of a higher revision at the same source.
-const REVISION_NOTE_MS: Millis = Millis(250);
+const REVISION_EVENT_INTERVAL_MS: Millis = Millis(250);
 /// Most remembered notes of higher revisions.
-const MAX_REVISION_NOTES: usize = 1_024;
+const MAX_REVISION_EVENT_TIMES: usize = 1_024;
 /// Revision and five length prefixes of the parts of a body.
-const BODY_PREFIX_BYTES: usize = 20;
+const BODY_OVERHEAD_BYTES: usize = 20;
 /// Hosts that are told at once that something is leaving; each tells as many.
 const LEAVING_FANOUT: usize = 5;
 /// Rounds in which a host passes on that something is leaving. One round left
@@ -152,7 +152,7 @@
 /// Length of a regular datagram within the region. In the full-size measurement
 /// the 99th percentile of the age of short heartbeats was 3.2 s with full-length
 /// datagrams, 2.1 s with 760 bytes and 1.8 s with 640 bytes.
-const REGION_DATAGRAM_BYTES: usize = 640;
+const MAX_REGION_DATAGRAM_BYTES: usize = 640;
 
 /// Who this host is and how much it may send.
 #[derive(Debug, Clone)]
@@ -199,7 +199,7 @@
 
 /// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingDatagram {
     /// Address of the receiver.
     pub to: SocketAddr,
     /// Encoded and tagged.
@@ -216,7 +216,7 @@
     /// Received bytes with IP and UDP headers.
     pub received_bytes: u64,
     /// Requests for missing facts that were sent.
-    pub asked: u64,
+    pub requested_records: u64,
     /// What was accepted and refused.
     pub wire: WireCounts,
 }
@@ -225,8 +225,8 @@
 #[derive(Debug)]
 struct Budget {
     bytes_per_s: i64,
-    available: i64,
-    filled_ms: Millis,
+    available_bytes: i64,
+    refilled_ms: Millis,
 }
 
 impl Budget {
@@ -234,17 +234,17 @@
         let bytes_per_s = i64::try_from(bytes_per_s.max(1)).unwrap_or(i64::MAX / 1_000);
         Self {
             bytes_per_s,
-            available: bytes_per_s / 2,
-            filled_ms: Millis(0),
+            available_bytes: bytes_per_s / 2,
+            refilled_ms: Millis(0),
         }
     }
 
     fn refill(&mut self, now_ms: Millis) {
-        let passed_ms = (now_ms - self.filled_ms).0.min(10_000) as i64;
-        let gained = self.bytes_per_s * passed_ms / 1_000;
-        if gained > 0 {
-            self.available = (self.available + gained).min(self.bytes_per_s / 2);
-            self.filled_ms = now_ms;
+        let passed_ms = (now_ms - self.refilled_ms).0.min(10_000) as i64;
+        let gained_bytes = self.bytes_per_s * passed_ms / 1_000;
+        if gained_bytes > 0 {
+            self.available_bytes = (self.available_bytes + gained_bytes).min(self.bytes_per_s / 2);
+            self.refilled_ms = now_ms;
         }
     }
 
@@ -252,53 +252,53 @@
         let bytes = i64::try_from(bytes).unwrap_or(self.bytes_per_s);
         // The debt is bounded, so that a flood of received bytes silences this
         // host for a few seconds at most.
-        self.available = (self.available - bytes).max(-3 * self.bytes_per_s);
+        self.available_bytes = (self.available_bytes - bytes).max(-3 * self.bytes_per_s);
     }
 
     /// Short replies may run up the whole debt but for a rest.
     fn allows_short_reply(&self) -> bool {
-        self.available > -5 * self.bytes_per_s / 2
+        self.available_bytes > -5 * self.bytes_per_s / 2
     }
 
     fn has_credit(&self) -> bool {
-        self.available > 0
+        self.available_bytes > 0
     }
 
     /// Replies may run up a debt of one second.
     fn allows_reply(&self) -> bool {
-        self.available > -self.bytes_per_s
+        self.available_bytes > -self.bytes_per_s
     }
 
     fn wait_ms(&self) -> Millis {
-        let missing = (1 - self.available).max(0);
-        Millis((missing * 1_000 / self.bytes_per_s + 1) as u64)
+        let missing_bytes = (1 - self.available_bytes).max(0);
+        Millis((missing_bytes * 1_000 / self.bytes_per_s + 1) as u64)
     }
 }
 
 #[derive(Debug)]
 struct SeedState {
     address: SocketAddr,
-    heard_ms: Option<Millis>,
-    next_ms: Millis,
-    retry_ms: Millis,
+    last_received_ms: Option<Millis>,
+    next_contact_ms: Millis,
+    retry_interval_ms: Millis,
 }
 
 impl SeedState {
     fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            heard_ms: None,
-            next_ms: Millis(0),
-            retry_ms: SEED_RETRY_MS,
+            last_received_ms: None,
+            next_contact_ms: Millis(0),
+            retry_interval_ms: SEED_RETRY_INTERVAL_MS,
         }
     }
 
     fn is_due(&self, now_ms: Millis, is_delegate: bool) -> bool {
-        let is_silent = match self.heard_ms {
+        let is_silent = match self.last_received_ms {
             None => true,
-            Some(heard_ms) => is_delegate && now_ms - heard_ms > SEED_SILENT_MS,
+            Some(last_received_ms) => is_delegate && now_ms - last_received_ms > SEED_SILENCE_MS,
         };
-        is_silent && now_ms >= self.next_ms
+        is_silent && now_ms >= self.next_contact_ms
     }
 }
 
@@ -306,13 +306,13 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     is_not_leaving: bool,
-    sends_left: Reverse<u8>,
-    full_sent_ms: Millis,
-    fact: Fact,
+    full_sends_left: Reverse<u8>,
+    full_last_sent_ms: Millis,
+    key: RecordKey,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Fact {
+enum RecordKey {
     Host(HostId),
     Endpoint(crate::types::EndpointId),
     Summary(RegionId),
@@ -322,17 +322,17 @@
 #[derive(Debug)]
 struct BodyBuilder {
     body: DatagramBody,
-    room_bytes: usize,
+    free_bytes: usize,
 }
 
 impl BodyBuilder {
-    fn new(room_bytes: usize, revision: Revision) -> Self {
+    fn new(free_bytes: usize, revision: Revision) -> Self {
         Self {
             body: DatagramBody {
                 revision,
                 ..DatagramBody::default()
             },
-            room_bytes: room_bytes.saturating_sub(BODY_PREFIX_BYTES),
+            free_bytes: free_bytes.saturating_sub(BODY_OVERHEAD_BYTES),
         }
     }
 
@@ -343,9 +343,9 @@
         let Ok(bytes) = postcard::to_allocvec(value) else {
             return false;
         };
-        let fits = bytes.len() <= self.room_bytes;
+        let fits = bytes.len() <= self.free_bytes;
         if fits {
-            self.room_bytes -= bytes.len();
+            self.free_bytes -= bytes.len();
         }
         fits
     }
@@ -394,14 +394,14 @@
     seeds: Vec<SeedState>,
     rng: Pcg64Mcg,
     /// What is leaving, with the rounds in which it still goes ahead.
-    urgent: BTreeMap<Fact, u8>,
+    urgent_rounds_left: BTreeMap<RecordKey, u8>,
     is_revision_urgent: bool,
     next_round_ms: Millis,
     last_round_ms: Millis,
-    next_ask_ms: Millis,
+    next_record_request_ms: Millis,
     next_refresh_ms: Millis,
     next_probe_ms: Millis,
-    revision_notes: BTreeMap<HostId, Millis>,
+    revision_event_times: BTreeMap<HostId, Millis>,
     counts: GossipCounts,
 }
 
@@ -415,14 +415,14 @@
             budget: Budget::new(config.budget_bytes_per_s),
             seeds: config.seeds.iter().copied().map(SeedState::new).collect(),
             rng: Pcg64Mcg::seed_from_u64(config.seed),
-            urgent: BTreeMap::new(),
+            urgent_rounds_left: BTreeMap::new(),
             is_revision_urgent: false,
             next_round_ms: Millis(0),
             last_round_ms: Millis(0),
-            next_ask_ms: Millis(0),
+            next_record_request_ms: Millis(0),
             next_refresh_ms: Millis(0),
             next_probe_ms: Millis(0),
-            revision_notes: BTreeMap::new(),
+            revision_event_times: BTreeMap::new(),
             counts: GossipCounts::default(),
             config,
         }
@@ -464,7 +464,9 @@
     pub fn put_heartbeat(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
         let tick_ms = tick_floor(now_ms);
         let known = self.store.hosts.get(&self.config.host);
-        let sequence = known.map_or(tick_ms, |known| tick_ms.max(Millis(known.beat) + TICK_MS));
+        let sequence = known.map_or(tick_ms, |known| {
+            tick_ms.max(Millis(known.newest_sequence) + TICK_MS)
+        });
         heartbeat.sequence = sequence.0;
         let is_revision_new = heartbeat.revision > self.own_revision();
         let is_leaving = heartbeat.is_leaving;
@@ -472,8 +474,8 @@
             .store
             .apply_heartbeat(now_ms, heartbeat, &mut Vec::new());
         if is_changed && is_leaving {
-            self.urgent
-                .insert(Fact::Host(self.config.host.clone()), LEAVING_ROUNDS);
+            self.urgent_rounds_left
+                .insert(RecordKey::Host(self.config.host.clone()), LEAVING_ROUNDS);
         }
         self.is_revision_urgent |= is_revision_new;
         self.schedule_now_if(now_ms, is_revision_new || (is_changed && is_leaving));
@@ -506,46 +508,46 @@
         from: SocketAddr,
         bytes: &[u8],
         events: &mut Vec<GossipEvent>,
-        out: &mut Vec<Outgoing>,
+        out: &mut Vec<OutgoingDatagram>,
     ) -> Result<(), WireError> {
         self.budget.refill(now_ms);
         let cost_bytes = bytes.len() as u64 + UDP_OVERHEAD_BYTES;
         self.budget.spend(cost_bytes);
         self.counts.received_bytes += cost_bytes;
         let datagram = self.decoder.decode(now_ms, bytes)?;
-        self.mark_heard(now_ms, from);
+        self.mark_seed_contacted(now_ms, from);
         let sender = datagram.header.sender.clone();
-        let is_new_sender = self.needs_greeting(now_ms, &sender);
+        let is_new_sender = self.needs_hello(now_ms, &sender);
         let missing = self.apply(now_ms, &datagram, events);
-        self.note_revisions(now_ms, &datagram, events);
-        self.answer_wanted(now_ms, from, &datagram.body.requested_ids, out);
-        self.ask_missing(now_ms, from, missing, out);
+        self.emit_higher_revisions(now_ms, &datagram, events);
+        self.send_requested_records(now_ms, from, &datagram.body.requested_ids, out);
+        self.request_missing_records(now_ms, from, missing, out);
         if is_new_sender && self.budget.allows_reply() {
-            self.greet(now_ms, from, &sender, out);
+            self.send_hello(now_ms, from, &sender, out);
         } else if is_new_sender && self.budget.allows_short_reply() {
-            self.greet_shortly(now_ms, from, out);
+            self.send_short_hello(now_ms, from, out);
         }
         Ok(())
     }
 
     /// Sends a round if it is due.
-    pub fn poll(&mut self, now_ms: Millis, out: &mut Vec<Outgoing>) {
+    pub fn poll(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         if now_ms < self.next_round_ms {
             return;
         }
         if !self.store.hosts.contains_key(&self.config.host) {
-            self.next_round_ms = now_ms + WITHOUT_HEARTBEAT_MS;
+            self.next_round_ms = now_ms + NO_HEARTBEAT_RETRY_MS;
             return;
         }
         self.budget.refill(now_ms);
         self.send_urgent(now_ms, out);
-        let is_overdue = now_ms - self.last_round_ms >= MAX_ROUND_MS;
+        let is_overdue = now_ms - self.last_round_ms >= MAX_ROUND_INTERVAL_MS;
         if !self.budget.has_credit() && !is_overdue {
-            let until_overdue_ms = self.last_round_ms + MAX_ROUND_MS - now_ms;
+            let until_overdue_ms = self.last_round_ms + MAX_ROUND_INTERVAL_MS - now_ms;
             self.next_round_ms = now_ms + self.budget.wait_ms().min(until_overdue_ms);
             return;
         }
-        self.store.forget_old(now_ms);
+        self.store.remove_expired(now_ms);
         self.refresh_own_heartbeat(now_ms);
         if self.budget.has_credit() {
             self.send_round(now_ms, out);
@@ -554,40 +556,40 @@
         }
         self.counts.rounds += 1;
         self.last_round_ms = now_ms;
-        let jitter_ms = Millis(self.rng.random_range(0..ROUND_MS.0 / 4));
-        self.next_round_ms = now_ms + ROUND_MS + jitter_ms;
+        let jitter_ms = Millis(self.rng.random_range(0..ROUND_INTERVAL_MS.0 / 4));
+        self.next_round_ms = now_ms + ROUND_INTERVAL_MS + jitter_ms;
     }
 
-    fn send_round(&mut self, now_ms: Millis, out: &mut Vec<Outgoing>) {
+    fn send_round(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         let is_delegate = self.is_delegate(now_ms);
-        self.send_region(now_ms, FANOUT, out);
+        self.send_to_region(now_ms, FANOUT, out);
         if is_delegate {
-            self.send_cross(now_ms, CROSS_FANOUT, out);
+            self.send_to_other_regions(now_ms, CROSS_REGION_FANOUT, out);
         }
         self.contact_seeds(now_ms, is_delegate, out);
         self.probe_silent_host(now_ms, out);
     }
 
     /// Sends one datagram only, in turn within and between regions.
-    fn send_overdue_round(&mut self, now_ms: Millis, out: &mut Vec<Outgoing>) {
-        let is_cross_turn = self.counts.rounds.is_multiple_of(2);
-        if is_cross_turn && self.is_delegate(now_ms) {
-            self.send_cross(now_ms, 1, out);
+    fn send_overdue_round(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
+        let is_cross_region_turn = self.counts.rounds.is_multiple_of(2);
+        if is_cross_region_turn && self.is_delegate(now_ms) {
+            self.send_to_other_regions(now_ms, 1, out);
         } else {
-            self.send_region(now_ms, 1, out);
+            self.send_to_region(now_ms, 1, out);
         }
     }
 
-    fn mark_heard(&mut self, now_ms: Millis, from: SocketAddr) {
+    fn mark_seed_contacted(&mut self, now_ms: Millis, from: SocketAddr) {
         if let Some(seed) = self.seeds.iter_mut().find(|seed| seed.address == from) {
-            seed.heard_ms = Some(now_ms);
-            seed.retry_ms = SEED_RETRY_MS;
+            seed.last_received_ms = Some(now_ms);
+            seed.retry_interval_ms = SEED_RETRY_INTERVAL_MS;
         }
     }
 
     /// Whether the sender may not know this host. Hosts of other regions write
     /// seldom, so a long silence of theirs means nothing.
-    fn needs_greeting(&self, now_ms: Millis, sender: &HostId) -> bool {
+    fn needs_hello(&self, now_ms: Millis, sender: &HostId) -> bool {
         self.store.hosts.get(sender).is_none_or(|record| {
             let is_own_region = record.heartbeat.region == self.config.region;
             is_own_region && !record.is_live(now_ms)
@@ -606,7 +608,7 @@
         let sent_ms = datagram.header.sent_ms;
         let mut missing = BTreeSet::new();
         for beat in &datagram.body.heartbeats {
-            if self.is_own_id(beat.id) {
+            if self.is_own_host_id(beat.id) {
                 continue;
             }
             let sequence = ticks_before(sent_ms, beat.age_ticks).0;
@@ -643,7 +645,7 @@
                 missing.insert(beat.id);
             }
         }
-        missing.into_iter().take(MAX_WANTED).collect()
+        missing.into_iter().take(MAX_REQUESTED_IDS).collect()
     }
 
     fn is_own_region_id(&self, id: ShortId) -> bool {
@@ -651,7 +653,7 @@
         own.is_some_and(|own| own.id == id)
     }
 
-    fn is_own_id(&self, id: ShortId) -> bool {
+    fn is_own_host_id(&self, id: ShortId) -> bool {
         let own = self.store.hosts.get(&self.config.host);
         own.is_some_and(|own| own.id == id)
     }
@@ -670,8 +672,8 @@
                     .apply_heartbeat(now_ms, heartbeat.clone(), events);
                 let is_own_region = heartbeat.region == self.config.region;
                 if is_new && is_own_region && heartbeat.is_leaving {
-                    self.urgent
-                        .insert(Fact::Host(heartbeat.host.clone()), LEAVING_ROUNDS);
+                    self.urgent_rounds_left
+                        .insert(RecordKey::Host(heartbeat.host.clone()), LEAVING_ROUNDS);
                     self.schedule_now_if(now_ms, true);
                 }
             }
@@ -691,8 +693,8 @@
     ) {
         let is_new = self.store.apply_report(now_ms, report.clone(), events);
         if is_new && report.is_leaving {
-            self.urgent
-                .insert(Fact::Endpoint(report.endpoint.clone()), LEAVING_ROUNDS);
+            self.urgent_rounds_left
+                .insert(RecordKey::Endpoint(report.endpoint.clone()), LEAVING_ROUNDS);
             self.schedule_now_if(now_ms, true);
         }
     }
@@ -709,7 +711,7 @@
         own.map_or(Revision(0), |own| own.heartbeat.revision)
     }
 
-    fn note_revisions(
+    fn emit_higher_revisions(
         &mut self,
         now_ms: Millis,
         datagram: &Datagram,
@@ -742,11 +744,11 @@
             }));
         }
         for source in sources {
-            self.note_revision(now_ms, source, events);
+            self.emit_if_higher(now_ms, source, events);
         }
     }
 
-    fn note_revision(
+    fn emit_if_higher(
         &mut self,
         now_ms: Millis,
         source: RevisionSource,
@@ -755,34 +757,35 @@
         if source.revision <= self.own_revision() || source.host == self.config.host {
             return;
         }
-        let noted_ms = self.revision_notes.get(&source.host);
-        if noted_ms.is_some_and(|noted_ms| now_ms - *noted_ms < REVISION_NOTE_MS) {
+        let emitted_ms = self.revision_event_times.get(&source.host);
+        if emitted_ms.is_some_and(|emitted_ms| now_ms - *emitted_ms < REVISION_EVENT_INTERVAL_MS) {
             return;
         }
-        if self.revision_notes.len() >= MAX_REVISION_NOTES {
-            self.revision_notes.clear();
+        if self.revision_event_times.len() >= MAX_REVISION_EVENT_TIMES {
+            self.revision_event_times.clear();
         }
-        self.revision_notes.insert(source.host.clone(), now_ms);
+        self.revision_event_times
+            .insert(source.host.clone(), now_ms);
         events.push(GossipEvent::HigherRevision(source));
     }
 
-    fn answer_wanted(
+    fn send_requested_records(
         &mut self,
         now_ms: Millis,
         to: SocketAddr,
-        wanted: &[ShortId],
-        out: &mut Vec<Outgoing>,
+        ids: &[ShortId],
+        out: &mut Vec<OutgoingDatagram>,
     ) {
         self.refresh_own_heartbeat(now_ms);
-        let mut builder = self.builder(now_ms);
-        for id in wanted.iter().take(MAX_WANTED) {
+        let mut builder = self.body_builder(now_ms);
+        for id in ids.iter().take(MAX_REQUESTED_IDS) {
             let Some(item) = self.full_record_by_id(*id) else {
                 continue;
             };
             if builder.push_full_record(item.clone()) {
                 continue;
             }
-            let full = std::mem::replace(&mut builder, self.builder(now_ms));
+            let full = std::mem::replace(&mut builder, self.body_builder(now_ms));
             self.reply(now_ms, to, full.body, out);
             builder.push_full_record(item);
         }
@@ -800,19 +803,19 @@
             .or_else(|| region.map(|record| FullRecord::Summary(record.summary.clone())))
     }
 
-    fn ask_missing(
+    fn request_missing_records(
         &mut self,
         now_ms: Millis,
         to: SocketAddr,
         missing: Vec<ShortId>,
-        out: &mut Vec<Outgoing>,
+        out: &mut Vec<OutgoingDatagram>,
     ) {
-        if missing.is_empty() || now_ms < self.next_ask_ms {
+        if missing.is_empty() || now_ms < self.next_record_request_ms {
             return;
         }
-        self.next_ask_ms = now_ms + ASK_INTERVAL_MS;
-        self.counts.asked += 1;
-        let mut builder = self.builder(now_ms);
+        self.next_record_request_ms = now_ms + RECORD_REQUEST_INTERVAL_MS;
+        self.counts.requested_records += 1;
+        let mut builder = self.body_builder(now_ms);
         if let Some(own) = self.own_full_record(now_ms) {
             builder.push_full_record(own);
         }
@@ -820,7 +823,13 @@
         self.reply(now_ms, to, builder.body, out);
     }
 
-    fn greet(&mut self, now_ms: Millis, to: SocketAddr, sender: &HostId, out: &mut Vec<Outgoing>) {
+    fn send_hello(
+        &mut self,
+        now_ms: Millis,
+        to: SocketAddr,
+        sender: &HostId,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let record = self.store.hosts.get(sender);
         let Some(region) = record.map(|record| record.heartbeat.region.clone()) else {
             return;
@@ -828,7 +837,7 @@
         self.refresh_own_heartbeat(now_ms);
         let body = if region == self.config.region {
             let mut body = self.region_body(now_ms);
-            self.prepend_own(now_ms, &mut body);
+            self.prepend_own_heartbeat(now_ms, &mut body);
             body
         } else {
             self.hello_body(now_ms)
@@ -839,7 +848,12 @@
     /// Names a few other hosts, so that a newcomer turns to them while this one
     /// is over its budget. Without it, hosts that all start with one seed kept
     /// it so busy that some knew nobody after 15 s.
-    fn greet_shortly(&mut self, now_ms: Millis, to: SocketAddr, out: &mut Vec<Outgoing>) {
+    fn send_short_hello(
+        &mut self,
+        now_ms: Millis,
+        to: SocketAddr,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let mut body = self.hello_body(now_ms);
         let hosts = self.region_hosts(now_ms);
         let others = hosts
@@ -849,17 +863,17 @@
         let named: Vec<FullRecord> = others.collect();
         let mut rng = self.rng.clone();
         body.full_records
-            .extend(named.into_iter().sample(&mut rng, SHORT_GREETING_HOSTS));
+            .extend(named.into_iter().sample(&mut rng, SHORT_HELLO_HOSTS));
         self.rng = rng;
         self.send(now_ms, to, body, out);
     }
 
     /// Makes sure that a host that does not know this one can reply to it.
-    fn prepend_own(&mut self, now_ms: Millis, body: &mut DatagramBody) {
-        let has_own = body.full_records.iter().any(
+    fn prepend_own_heartbeat(&mut self, now_ms: Millis, body: &mut DatagramBody) {
+        let has_own_heartbeat = body.full_records.iter().any(
             |item| matches!(item, FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host),
         );
-        let Some(own) = self.own_full_record(now_ms).filter(|_| !has_own) else {
+        let Some(own) = self.own_full_record(now_ms).filter(|_| !has_own_heartbeat) else {
             return;
         };
         // Loads come last and are the least useful part for a newcomer.
@@ -876,7 +890,7 @@
         now_ms: Millis,
         to: SocketAddr,
         body: DatagramBody,
-        out: &mut Vec<Outgoing>,
+        out: &mut Vec<OutgoingDatagram>,
     ) {
         if self.budget.allows_reply() {
             self.send(now_ms, to, body, out);
@@ -888,14 +902,14 @@
         now_ms: Millis,
         to: SocketAddr,
         body: DatagramBody,
-        out: &mut Vec<Outgoing>,
+        out: &mut Vec<OutgoingDatagram>,
     ) {
         match self.encoder.encode(now_ms, body) {
             Ok(bytes) => {
                 let cost_bytes = bytes.len() as u64 + UDP_OVERHEAD_BYTES;
                 self.budget.spend(cost_bytes);
                 self.counts.sent_bytes += cost_bytes;
-                out.push(Outgoing { to, bytes });
+                out.push(OutgoingDatagram { to, bytes });
             }
             Err(error) => tracing::error!(%error, "could not encode a datagram"),
         }
@@ -904,12 +918,12 @@
     fn refresh_own_heartbeat(&mut self, now_ms: Millis) {
         if let Some(own) = self.store.hosts.get_mut(&self.config.host) {
             let beat = tick_floor(now_ms).0;
-            if beat > own.beat {
-                own.beat = beat;
-                own.beat_sends = 0;
+            if beat > own.newest_sequence {
+                own.newest_sequence = beat;
+                own.compact_sends = 0;
             }
-            own.heartbeat.sequence = own.beat;
-            own.heard_ms = now_ms;
+            own.heartbeat.sequence = own.newest_sequence;
+            own.last_received_ms = now_ms;
         }
     }
 
@@ -933,11 +947,11 @@
         let rank = |host: &HostId| rendezvous_rank(region, host.as_str());
         let own_rank = rank(&self.config.host);
         let hosts = self.region_hosts(now_ms);
-        let better = hosts
+        let higher_ranked = hosts
             .iter()
             .filter(|record| !record.heartbeat.is_leaving)
             .filter(|record| rank(&record.heartbeat.host) > own_rank);
-        better.count() < DELEGATES
+        higher_ranked.count() < DELEGATES_PER_REGION
     }
 
     fn region_targets(&mut self, now_ms: Millis, fanout: usize) -> Vec<SocketAddr> {
@@ -952,7 +966,7 @@
         targets
     }
 
-    fn send_region(&mut self, now_ms: Millis, fanout: usize, out: &mut Vec<Outgoing>) {
+    fn send_to_region(&mut self, now_ms: Millis, fanout: usize, out: &mut Vec<OutgoingDatagram>) {
         for to in self.region_targets(now_ms, fanout) {
             let body = self.region_body(now_ms);
             self.send(now_ms, to, body, out);
@@ -960,52 +974,52 @@
     }
 
     /// Sends what cannot wait in small datagrams of their own.
-    fn send_urgent(&mut self, now_ms: Millis, out: &mut Vec<Outgoing>) {
-        let has_facts = !self.urgent.is_empty();
-        if !(has_facts || self.is_revision_urgent) || !self.budget.allows_reply() {
+    fn send_urgent(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
+        let has_leaving = !self.urgent_rounds_left.is_empty();
+        if !(has_leaving || self.is_revision_urgent) || !self.budget.allows_reply() {
             return;
         }
         self.refresh_own_heartbeat(now_ms);
-        let facts: Vec<Fact> = self.urgent.keys().cloned().collect();
-        self.urgent.retain(|_, rounds| {
+        let keys: Vec<RecordKey> = self.urgent_rounds_left.keys().cloned().collect();
+        self.urgent_rounds_left.retain(|_, rounds| {
             *rounds -= 1;
             *rounds > 0
         });
         let is_revision_urgent = std::mem::take(&mut self.is_revision_urgent);
-        let fanout = if has_facts {
+        let fanout = if has_leaving {
             LEAVING_FANOUT
         } else {
             REVISION_FANOUT
         };
-        let mut builder = self.builder(now_ms);
+        let mut builder = self.body_builder(now_ms);
         if let Some(beat) = self.own_compact_heartbeat(now_ms) {
             builder.push_heartbeat(beat);
         }
-        for fact in &facts {
-            self.add_full_record(now_ms, fact, &mut builder);
+        for key in &keys {
+            self.add_full_record(now_ms, key, &mut builder);
         }
         for to in self.region_targets(now_ms, fanout) {
             self.send(now_ms, to, builder.body.clone(), out);
         }
         if is_revision_urgent && self.is_delegate(now_ms) {
-            let body = self.cross_builder(now_ms).body;
-            for (_, to) in self.cross_targets(now_ms, REVISION_FANOUT) {
+            let body = self.cross_region_builder(now_ms).body;
+            for (_, to) in self.cross_region_targets(now_ms, REVISION_FANOUT) {
                 self.send(now_ms, to, body.clone(), out);
             }
         }
     }
 
-    fn builder(&self, now_ms: Millis) -> BodyBuilder {
+    fn body_builder(&self, now_ms: Millis) -> BodyBuilder {
         BodyBuilder::new(self.encoder.max_body_bytes(now_ms), self.own_revision())
     }
 
     fn region_body(&mut self, now_ms: Millis) -> DatagramBody {
-        let mut builder = self.builder(now_ms);
-        let shortened = MAX_DATAGRAM_BYTES - REGION_DATAGRAM_BYTES;
-        builder.room_bytes = builder.room_bytes.saturating_sub(shortened);
+        let mut builder = self.body_builder(now_ms);
+        let shortened = MAX_DATAGRAM_BYTES - MAX_REGION_DATAGRAM_BYTES;
+        builder.free_bytes = builder.free_bytes.saturating_sub(shortened);
         self.add_full_records(now_ms, &mut builder);
         self.add_heartbeats(now_ms, &mut builder);
-        let reserved = builder.room_bytes * (100 - REGION_ROOM_PERCENT) / 100;
+        let reserved = builder.free_bytes * (100 - SUMMARIES_SHARE_PERCENT) / 100;
         self.add_summaries(now_ms, None, reserved, &mut builder);
         self.add_reports(now_ms, &mut builder);
         builder.body
@@ -1013,25 +1027,25 @@
 
     fn candidates(&self, now_ms: Millis) -> Vec<Candidate> {
         let hosts = self.region_hosts(now_ms).into_iter().map(|r| Candidate {
-            is_not_leaving: !(r.heartbeat.is_leaving && r.sends_left > 0),
-            sends_left: Reverse(r.sends_left),
-            full_sent_ms: r.full_sent_ms,
-            fact: Fact::Host(r.heartbeat.host.clone()),
+            is_not_leaving: !(r.heartbeat.is_leaving && r.full_sends_left > 0),
+            full_sends_left: Reverse(r.full_sends_left),
+            full_last_sent_ms: r.full_last_sent_ms,
+            key: RecordKey::Host(r.heartbeat.host.clone()),
         });
         let endpoints = self.store.endpoints.values().map(|r| Candidate {
-            is_not_leaving: !(r.report.is_leaving && r.sends_left > 0),
-            sends_left: Reverse(r.sends_left),
-            full_sent_ms: r.full_sent_ms,
-            fact: Fact::Endpoint(r.report.endpoint.clone()),
+            is_not_leaving: !(r.report.is_leaving && r.full_sends_left > 0),
+            full_sends_left: Reverse(r.full_sends_left),
+            full_last_sent_ms: r.full_last_sent_ms,
+            key: RecordKey::Endpoint(r.report.endpoint.clone()),
         });
         let others = self.store.summaries.values();
         let summaries = others
             .filter(|r| r.summary.region != self.config.region)
             .map(|r| Candidate {
                 is_not_leaving: true,
-                sends_left: Reverse(r.sends_left),
-                full_sent_ms: r.full_sent_ms,
-                fact: Fact::Summary(r.summary.region.clone()),
+                full_sends_left: Reverse(r.full_sends_left),
+                full_last_sent_ms: r.full_last_sent_ms,
+                key: RecordKey::Summary(r.summary.region.clone()),
             });
         hosts.chain(endpoints).chain(summaries).collect()
     }
@@ -1040,47 +1054,47 @@
     fn add_full_records(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut candidates = self.candidates(now_ms);
         candidates.sort_unstable();
-        let reserved = builder.room_bytes * (100 - CHANGED_ROOM_PERCENT) / 100;
+        let reserved = builder.free_bytes * (100 - FULL_RECORDS_SHARE_PERCENT) / 100;
         for candidate in candidates {
-            if builder.room_bytes <= reserved {
+            if builder.free_bytes <= reserved {
                 return;
             }
-            let is_unchanged = candidate.sends_left.0 == 0;
+            let is_unchanged = candidate.full_sends_left.0 == 0;
             if is_unchanged && now_ms < self.next_refresh_ms {
                 return;
             }
-            self.add_full_record(now_ms, &candidate.fact, builder);
+            self.add_full_record(now_ms, &candidate.key, builder);
             if is_unchanged {
-                self.next_refresh_ms = now_ms + REFRESH_MS;
+                self.next_refresh_ms = now_ms + REFRESH_INTERVAL_MS;
                 return;
             }
         }
     }
 
-    fn add_full_record(&mut self, now_ms: Millis, fact: &Fact, builder: &mut BodyBuilder) {
-        match fact {
-            Fact::Host(host) => {
+    fn add_full_record(&mut self, now_ms: Millis, key: &RecordKey, builder: &mut BodyBuilder) {
+        match key {
+            RecordKey::Host(host) => {
                 if let Some(r) = self.store.hosts.get_mut(host)
                     && builder.push_full_record(FullRecord::Heartbeat(r.heartbeat.clone()))
                 {
-                    r.sends_left = r.sends_left.saturating_sub(1);
-                    r.full_sent_ms = now_ms;
+                    r.full_sends_left = r.full_sends_left.saturating_sub(1);
+                    r.full_last_sent_ms = now_ms;
                 }
             }
-            Fact::Endpoint(endpoint) => {
+            RecordKey::Endpoint(endpoint) => {
                 if let Some(r) = self.store.endpoints.get_mut(endpoint)
                     && builder.push_full_record(FullRecord::Report(r.report.clone()))
                 {
-                    r.sends_left = r.sends_left.saturating_sub(1);
-                    r.full_sent_ms = now_ms;
+                    r.full_sends_left = r.full_sends_left.saturating_sub(1);
+                    r.full_last_sent_ms = now_ms;
                 }
             }
-            Fact::Summary(region) => {
+            RecordKey::Summary(region) => {
                 if let Some(r) = self.store.summaries.get_mut(region)
                     && builder.push_full_record(FullRecord::Summary(r.summary.clone()))
                 {
-                    r.sends_left = r.sends_left.saturating_sub(1);
-                    r.full_sent_ms = now_ms;
+                    r.full_sends_left = r.full_sends_left.saturating_sub(1);
+                    r.full_last_sent_ms = now_ms;
                 }
             }
         }
@@ -1090,7 +1104,7 @@
         let own = self.own_revision().0;
         CompactHeartbeat {
             id: record.id,
-            age_ticks: ticks_behind(now_ms, Millis(record.beat)),
+            age_ticks: ticks_behind(now_ms, Millis(record.newest_sequence)),
             revision_lag: own.wrapping_sub(record.heartbeat.revision.0) as i64,
             open_requests: record.heartbeat.open_requests,
         }
@@ -1107,23 +1121,23 @@
     /// it is over its budget.
     fn add_heartbeats(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut records = self.region_hosts(now_ms);
-        records.retain(|record| now_ms - record.heard_ms <= BEAT_RELAY_MS);
+        records.retain(|record| now_ms - record.last_received_ms <= MAX_RELAYED_HEARTBEAT_AGE_MS);
         records.sort_by_key(|record| {
-            let surplus_sends = record.beat_sends.saturating_sub(EXTRA_BEAT_SENDS);
-            (surplus_sends, Reverse(record.beat))
+            let surplus_sends = record.compact_sends.saturating_sub(EXTRA_HEARTBEAT_SENDS);
+            (surplus_sends, Reverse(record.newest_sequence))
         });
         let beats = records
             .iter()
             .map(|record| self.compact_heartbeat(now_ms, record));
         let hosts = records.iter().map(|record| record.heartbeat.host.clone());
         let candidates: Vec<(HostId, CompactHeartbeat)> = hosts.zip(beats).collect();
-        let reserved = builder.room_bytes * (100 - BEAT_ROOM_PERCENT) / 100;
+        let reserved = builder.free_bytes * (100 - HEARTBEATS_SHARE_PERCENT) / 100;
         for (host, beat) in candidates {
-            if builder.room_bytes <= reserved || !builder.push_heartbeat(beat) {
+            if builder.free_bytes <= reserved || !builder.push_heartbeat(beat) {
                 return;
             }
             if let Some(record) = self.store.hosts.get_mut(&host) {
-                record.beat_sends += 1;
+                record.compact_sends += 1;
             }
         }
     }
@@ -1131,7 +1145,7 @@
     fn add_reports(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut records: Vec<_> = self.store.endpoints.values_mut().collect();
         records.sort_by_key(|record| {
-            let surplus_sends = record.load_sends.saturating_sub(EXTRA_LOAD_SENDS);
+            let surplus_sends = record.compact_sends.saturating_sub(EXTRA_REPORT_SENDS);
             (surplus_sends, Reverse(record.report.measured_ms))
         });
         for record in records {
@@ -1145,20 +1159,29 @@
             if !builder.push_report(load) {
                 return;
             }
-            record.load_sends += 1;
+            record.compact_sends += 1;
         }
     }
 
-    fn send_cross(&mut self, now_ms: Millis, fanout: usize, out: &mut Vec<Outgoing>) {
-        for (region, to) in self.cross_targets(now_ms, fanout) {
-            let body = self.cross_body(now_ms, &region);
+    fn send_to_other_regions(
+        &mut self,
+        now_ms: Millis,
+        fanout: usize,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
+        for (region, to) in self.cross_region_targets(now_ms, fanout) {
+            let body = self.cross_region_body(now_ms, &region);
             self.send(now_ms, to, body, out);
         }
     }
 
     /// One host of each of a few random other regions.
-    fn cross_targets(&mut self, now_ms: Millis, fanout: usize) -> Vec<(RegionId, SocketAddr)> {
-        let known = self.cross_addresses(now_ms);
+    fn cross_region_targets(
+        &mut self,
+        now_ms: Millis,
+        fanout: usize,
+    ) -> Vec<(RegionId, SocketAddr)> {
+        let known = self.cross_region_addresses(now_ms);
         let chosen = known.into_iter().sample(&mut self.rng, fanout);
         let mut targets = Vec::with_capacity(chosen.len());
         for (region, addresses) in chosen {
@@ -1169,7 +1192,7 @@
     }
 
     /// Addresses of hosts by other region, from summaries and heartbeats.
-    fn cross_addresses(&self, now_ms: Millis) -> BTreeMap<RegionId, Vec<SocketAddr>> {
+    fn cross_region_addresses(&self, now_ms: Millis) -> BTreeMap<RegionId, Vec<SocketAddr>> {
         let mut targets: BTreeMap<RegionId, Vec<SocketAddr>> = BTreeMap::new();
         let summaries = self.store.summaries.values().map(|record| &record.summary);
         for summary in summaries.filter(|summary| summary.region != self.config.region) {
@@ -1188,23 +1211,23 @@
     }
 
     /// This host, and the states of its region and of all others.
-    fn cross_body(&mut self, now_ms: Millis, target: &RegionId) -> DatagramBody {
-        let mut builder = self.cross_builder(now_ms);
+    fn cross_region_body(&mut self, now_ms: Millis, target: &RegionId) -> DatagramBody {
+        let mut builder = self.cross_region_builder(now_ms);
         self.add_summaries(now_ms, Some(target), 0, &mut builder);
         builder.body
     }
 
     /// This host and its region in full, for a host that may know neither.
     fn hello_body(&mut self, now_ms: Millis) -> DatagramBody {
-        let mut builder = self.cross_builder(now_ms);
+        let mut builder = self.cross_region_builder(now_ms);
         if let Some(own) = self.store.summaries.get(&self.config.region) {
             builder.push_full_record(FullRecord::Summary(own.summary.clone()));
         }
         builder.body
     }
 
-    fn cross_builder(&mut self, now_ms: Millis) -> BodyBuilder {
-        let mut builder = self.builder(now_ms);
+    fn cross_region_builder(&mut self, now_ms: Millis) -> BodyBuilder {
+        let mut builder = self.body_builder(now_ms);
         if let Some(own) = self.own_full_record(now_ms) {
             builder.push_full_record(own);
         }
@@ -1222,16 +1245,16 @@
         builder: &mut BodyBuilder,
     ) {
         let own_region = &self.config.region;
-        let is_cross = reserved == 0;
+        let is_cross_region = reserved == 0;
         let records = self.store.summaries.values_mut().filter(|record| {
             let region = &record.summary.region;
-            Some(region) != target && (is_cross || region != own_region)
+            Some(region) != target && (is_cross_region || region != own_region)
         });
         let mut records: Vec<_> = records.collect();
         records.sort_by_key(|record| {
             let is_other = record.summary.region != *own_region;
             let made_ms = Reverse(record.summary.made_ms);
-            (is_other, record.beat_sends, made_ms)
+            (is_other, record.compact_sends, made_ms)
         });
         let own_revision = builder.body.revision.0;
         for record in records {
@@ -1242,10 +1265,10 @@
                 revision_lag: own_revision.wrapping_sub(summary.lowest_revision.0) as i64,
                 busy: summary.capacity.iter().map(|c| c.busy).collect(),
             };
-            if builder.room_bytes <= reserved || !builder.push_summary(beat) {
+            if builder.free_bytes <= reserved || !builder.push_summary(beat) {
                 return;
             }
-            record.beat_sends += 1;
+            record.compact_sends += 1;
         }
     }
 
@@ -1254,12 +1277,13 @@
     ///
     /// The hosts of a region together ask four times a second, however many
     /// they are; once a second each kept a host that was over its budget there.
-    fn probe_silent_host(&mut self, now_ms: Millis, out: &mut Vec<Outgoing>) {
+    fn probe_silent_host(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         if now_ms < self.next_probe_ms {
             return;
         }
         let live = self.region_hosts(now_ms).len() as u64;
-        self.next_probe_ms = now_ms + Millis(live * PROBE_SHARE_MS.0).max(MIN_PROBE_MS);
+        self.next_probe_ms =
+            now_ms + Millis(live * REGION_PROBE_INTERVAL_MS.0).max(MIN_HOST_PROBE_INTERVAL_MS);
         let hosts = self.store.hosts.values();
         let silent = hosts
             .filter(|record| record.heartbeat.region == self.config.region)
@@ -1273,27 +1297,33 @@
         }
     }
 
-    fn contact_seeds(&mut self, now_ms: Millis, is_delegate: bool, out: &mut Vec<Outgoing>) {
+    fn contact_seeds(
+        &mut self,
+        now_ms: Millis,
+        is_delegate: bool,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let known: BTreeSet<SocketAddr> = self
             .region_hosts(now_ms)
             .iter()
             .map(|record| record.heartbeat.peer_address)
             .collect();
         // This host is among the known ones.
-        let is_alone = known.len() <= 1;
-        let max_retry_ms = if is_alone {
-            MAX_ALONE_RETRY_MS
+        let is_isolated = known.len() <= 1;
+        let max_retry_interval_ms = if is_isolated {
+            MAX_ISOLATED_RETRY_INTERVAL_MS
         } else {
-            MAX_SEED_RETRY_MS
+            MAX_SEED_RETRY_INTERVAL_MS
         };
         let mut due = Vec::new();
         for seed in &mut self.seeds {
             if known.contains(&seed.address) {
-                seed.heard_ms = Some(now_ms);
+                seed.last_received_ms = Some(now_ms);
             }
             if seed.is_due(now_ms, is_delegate) {
-                seed.next_ms = now_ms + seed.retry_ms;
-                seed.retry_ms = Millis(seed.retry_ms.0 * 2).min(max_retry_ms);
+                seed.next_contact_ms = now_ms + seed.retry_interval_ms;
+                seed.retry_interval_ms =
+                    Millis(seed.retry_interval_ms.0 * 2).min(max_retry_interval_ms);
                 due.push(seed.address);
             }
         }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Both are authenticated under one cluster key. `wire` holds the key and the
 //! datagram format, `store` the newest facts of each source, `gossip` decides
-//! which facts go to whom, `socket` runs it on a UDP socket and `measure` runs
+//! which facts go to whom, `socket` runs it on a UDP socket and `simulation` runs
 //! many of them in memory to find their cost. `frame` holds what hosts say over
 //! TCP, `link` is one authenticated connection, `client` starts exchanges and
 //! `server` serves them.
@@ -11,8 +11,8 @@
 pub mod frame;
 pub mod gossip;
 pub mod link;
-pub mod measure;
 pub mod server;
+pub mod simulation;
 pub mod socket;
 pub mod store;
 pub mod wire;
--- a/src/peer/measure.rs
+++ b/src/peer/simulation.rs
@@ -24,7 +24,7 @@
         Gossip,
         GossipConfig,
         GossipEvent,
-        Outgoing, //
+        OutgoingDatagram, //
     },
     wire::ClusterKey, //
 };
@@ -51,11 +51,11 @@
 
 const START_MS: Millis = Millis(1_700_000_000_000);
 const STEP_MS: Millis = Millis(10);
-const POLL_MS: Millis = Millis(1_000);
-const LATENCY_MS: Millis = Millis(1);
-const CROSS_LATENCY_MS: Millis = Millis(80);
+const POLL_INTERVAL_MS: Millis = Millis(1_000);
+const REGION_LATENCY_MS: Millis = Millis(1);
+const CROSS_REGION_LATENCY_MS: Millis = Millis(80);
 /// Time after which the spread of a revision is given up.
-const SPREAD_LIMIT_MS: Millis = Millis(60_000);
+const MAX_REVISION_SPREAD_MS: Millis = Millis(60_000);
 const LOSS_PERMILLE: u32 = 10;
 /// Time to learn all descriptions, which is left out of the figures. After 20 s
 /// the datagrams of 66 hosts still carried descriptions in place of loads.
@@ -91,8 +91,8 @@
 
 /// Measures one region with `hosts` and `endpoints` over `seconds` of virtual
 /// time; two hosts poll each endpoint once a second.
-pub fn measure(hosts: usize, endpoints: usize, seconds: u64) -> GossipCost {
-    let mut region = MeasuredCluster::new(1, hosts.max(1), endpoints);
+pub fn measure_region(hosts: usize, endpoints: usize, seconds: u64) -> GossipCost {
+    let mut region = SimulatedCluster::new(1, hosts.max(1), endpoints);
     region.run(WARM_UP_MS);
     let before = region.total_bytes();
     region.ages = Ages::default();
@@ -153,10 +153,14 @@
 
 /// Measures gossip between regions without endpoints over `seconds` of virtual
 /// time, and then the spread of one revision by gossip alone.
-pub fn measure_regions(regions: usize, hosts_per_region: usize, seconds: u64) -> CrossRegionCost {
-    let per_region = hosts_per_region.max(1);
+pub fn measure_cross_region(
+    regions: usize,
+    hosts_per_region: usize,
+    seconds: u64,
+) -> CrossRegionCost {
+    let hosts_per_region = hosts_per_region.max(1);
     let seconds = seconds.max(1);
-    let mut cluster = MeasuredCluster::new(regions.max(1), per_region, 0);
+    let mut cluster = SimulatedCluster::new(regions.max(1), hosts_per_region, 0);
     cluster.run(WARM_UP_MS);
     let before = cluster.total_bytes();
     cluster.ages = Ages::default();
@@ -171,7 +175,7 @@
     let hosts = cluster.hosts.len() as f64;
     CrossRegionCost {
         regions,
-        hosts_per_region: per_region,
+        hosts_per_region,
         seconds,
         mean_bytes_per_s: per_second(used.iter().sum()) / hosts,
         max_bytes_per_s: per_second(used.iter().copied().max().unwrap_or(0)),
@@ -197,13 +201,13 @@
     summaries: Vec<u64>,
 }
 
-struct MeasuredCluster {
-    per_region: usize,
+struct SimulatedCluster {
+    hosts_per_region: usize,
     heartbeats: Vec<Heartbeat>,
     fetches: BTreeMap<Millis, Vec<(usize, Revision)>>,
     hosts: Vec<Gossip>,
     endpoints: Vec<EndpointId>,
-    in_transit: BTreeMap<Millis, Vec<(SocketAddr, Outgoing)>>,
+    in_transit: BTreeMap<Millis, Vec<(SocketAddr, OutgoingDatagram)>>,
     rng: Pcg64Mcg,
     now_ms: Millis,
     ages: Ages,
@@ -247,17 +251,17 @@
     }
 }
 
-impl MeasuredCluster {
-    fn new(regions: usize, per_region: usize, endpoints: usize) -> Self {
+impl SimulatedCluster {
+    fn new(regions: usize, hosts_per_region: usize, endpoints: usize) -> Self {
         let key = ClusterKey::new(b"measure");
-        let hosts = regions * per_region;
+        let hosts = regions * hosts_per_region;
         let heartbeats: Vec<Heartbeat> = (0..hosts)
-            .map(|index| heartbeat(index, index / per_region))
+            .map(|index| heartbeat(index, index / hosts_per_region))
             .collect();
         let start = |(index, own): (usize, &Heartbeat)| {
             // The first hosts of the own and of the next region.
-            let first = index / per_region * per_region;
-            let seeds = vec![address(first), address((first + per_region) % hosts)];
+            let first = index / hosts_per_region * hosts_per_region;
+            let seeds = vec![address(first), address((first + hosts_per_region) % hosts)];
             let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
                 .with_seeds(seeds);
             let mut gossip = Gossip::new(config, &key);
@@ -267,7 +271,7 @@
         let endpoint_ids = (0..endpoints).map(|n| id(format!("engine-{n:05}")));
         Self {
             hosts: heartbeats.iter().enumerate().map(start).collect(),
-            per_region,
+            hosts_per_region,
             heartbeats,
             fetches: BTreeMap::new(),
             endpoints: endpoint_ids.collect(),
@@ -287,7 +291,7 @@
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
             self.step();
-            if self.now_ms.0.is_multiple_of(POLL_MS.0) {
+            if self.now_ms.0.is_multiple_of(POLL_INTERVAL_MS.0) {
                 self.record_ages();
             }
         }
@@ -295,7 +299,7 @@
 
     fn step(&mut self) {
         self.now_ms = self.now_ms + STEP_MS;
-        if self.now_ms.0.is_multiple_of(POLL_MS.0) {
+        if self.now_ms.0.is_multiple_of(POLL_INTERVAL_MS.0) {
             self.put_summaries();
         }
         self.poll_endpoints();
@@ -306,13 +310,13 @@
 
     /// Each host sums up its region from what it knows, with up to eight hosts.
     fn put_summaries(&mut self) {
-        let is_one_region = self.per_region == self.hosts.len();
+        let is_one_region = self.hosts_per_region == self.hosts.len();
         for index in 0..self.hosts.len() {
             if is_one_region {
                 return;
             }
-            let first = index / self.per_region * self.per_region;
-            let last = first + self.per_region;
+            let first = index / self.hosts_per_region * self.hosts_per_region;
+            let last = first + self.hosts_per_region;
             let forward = |index: usize| ForwardHost {
                 host: self.heartbeats[index].host.clone(),
                 peer_address: address(index),
@@ -371,14 +375,14 @@
         let newest = self.heartbeats[0].revision.next();
         self.set_revision(0, newest);
         let mut every_region_ms = None;
-        while (self.now_ms - start_ms) < SPREAD_LIMIT_MS {
-            let regions = self.heartbeats.chunks(self.per_region);
-            let has_it = |own: &Heartbeat| own.revision >= newest;
-            let in_each = regions.clone().all(|hosts| hosts.iter().any(has_it));
-            if in_each && every_region_ms.is_none() {
+        while (self.now_ms - start_ms) < MAX_REVISION_SPREAD_MS {
+            let regions = self.heartbeats.chunks(self.hosts_per_region);
+            let has_revision = |own: &Heartbeat| own.revision >= newest;
+            let is_in_each_region = regions.clone().all(|hosts| hosts.iter().any(has_revision));
+            if is_in_each_region && every_region_ms.is_none() {
                 every_region_ms = Some((self.now_ms - start_ms).0);
             }
-            if self.heartbeats.iter().all(has_it) {
+            if self.heartbeats.iter().all(has_revision) {
                 break;
             }
             self.step();
@@ -388,17 +392,17 @@
     }
 
     fn latency_ms(&self, a: usize, b: usize) -> Millis {
-        if a / self.per_region == b / self.per_region {
-            LATENCY_MS
+        if a / self.hosts_per_region == b / self.hosts_per_region {
+            REGION_LATENCY_MS
         } else {
-            CROSS_LATENCY_MS
+            CROSS_REGION_LATENCY_MS
         }
     }
 
     /// Each endpoint is polled by two hosts at different times of the second.
     fn poll_endpoints(&mut self) {
-        let phase = self.now_ms.0 % POLL_MS.0 / STEP_MS.0;
-        let phases = (POLL_MS.0 / STEP_MS.0) as usize;
+        let phase = self.now_ms.0 % POLL_INTERVAL_MS.0 / STEP_MS.0;
+        let phases = (POLL_INTERVAL_MS.0 / STEP_MS.0) as usize;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             for poller in 0..2 {
                 if (index * 7 + poller * phases / 2) % phases != phase as usize {
@@ -442,7 +446,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, out: Vec<Outgoing>) {
+    fn post(&mut self, from: usize, out: Vec<OutgoingDatagram>) {
         for datagram in out {
             if self.rng.random_range(0..1_000) < LOSS_PERMILLE {
                 continue;
@@ -459,7 +463,7 @@
             let ages = reports.map(|record| (self.now_ms - record.report.measured_ms).0);
             self.ages.reports.extend(ages);
             let beats = gossip.store().hosts.values();
-            let ages = beats.map(|record| (self.now_ms - Millis(record.beat)).0);
+            let ages = beats.map(|record| (self.now_ms - Millis(record.newest_sequence)).0);
             self.ages.beats.extend(ages);
             let own = gossip.region();
             let others = gossip.store().summaries.values();
--- a/src/peer/socket.rs
+++ b/src/peer/socket.rs
@@ -42,7 +42,7 @@
         GossipConfig,
         GossipCounts,
         GossipEvent,
-        Outgoing, //
+        OutgoingDatagram, //
     },
     wire::{
         ClusterKey,
@@ -123,7 +123,7 @@
     gossip: Mutex<Gossip>,
     socket: UdpSocket,
     updates: Ring<LocalUpdate>,
-    replies: Ring<Outgoing>,
+    replies: Ring<OutgoingDatagram>,
     drops: Drops,
     is_stopping: AtomicBool,
 }
@@ -339,7 +339,7 @@
     events.into_iter().for_each(on_event);
 }
 
-fn send(shared: &Shared, datagram: &Outgoing) {
+fn send(shared: &Shared, datagram: &OutgoingDatagram) {
     if let Err(error) = shared.socket.send_to(&datagram.bytes, datagram.to) {
         shared.drops.failed_sends.fetch_add(1, Ordering::Relaxed);
         tracing::debug!(%error, to = %datagram.to, "could not send a datagram");
--- a/src/peer/store.rs
+++ b/src/peer/store.rs
@@ -40,17 +40,17 @@
 /// A host not heard from for this long is not counted as live.
 pub const HOST_FORGET_MS: Millis = Millis(10_000);
 /// Silent hosts are remembered this long, so that late datagrams do not revive them.
-const HOST_KEEP_MS: Millis = Millis(120_000);
+const HOST_RETENTION_MS: Millis = Millis(120_000);
 /// Endpoints without a report for this long are dropped.
-const ENDPOINT_KEEP_MS: Millis = Millis(60_000);
+const ENDPOINT_RETENTION_MS: Millis = Millis(60_000);
 /// Summaries of a region that is cut off are kept for its hosts' addresses.
-const SUMMARY_KEEP_MS: Millis = Millis(3_600_000);
+const SUMMARY_RETENTION_MS: Millis = Millis(3_600_000);
 /// Short heartbeats alone are passed on to the decisions at most this often.
-const BEAT_EVENT_MS: Millis = Millis(200);
+const MIN_HEARTBEAT_EVENT_INTERVAL_MS: Millis = Millis(200);
 /// How often each host sends a changed fact in full.
-const CHANGED_SENDS: u8 = 4;
+const CHANGED_RECORD_SENDS: u8 = 4;
 /// How often each host sends the fact that a host or an endpoint is leaving.
-const LEAVING_SENDS: u8 = 8;
+const LEAVING_RECORD_SENDS: u8 = 8;
 
 /// Something that gossip learned.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,46 +84,46 @@
     /// Short name of this run.
     pub id: ShortId,
     /// Newest sequence, also from beats.
-    pub beat: u64,
+    pub newest_sequence: u64,
     /// When `beat` arrived here.
-    pub heard_ms: Millis,
+    pub last_received_ms: Millis,
     /// How often `beat` was sent.
-    pub beat_sends: u32,
+    pub compact_sends: u32,
     /// When an event of the host was last passed on to the decisions.
-    emitted_ms: Millis,
-    emitted_sequence: u64,
+    last_event_ms: Millis,
+    last_event_sequence: u64,
     /// How often the full fact is still sent with priority.
-    pub sends_left: u8,
+    pub full_sends_left: u8,
     /// When the full fact was last sent.
-    pub full_sent_ms: Millis,
+    pub full_last_sent_ms: Millis,
 }
 
 impl HostRecord {
     fn new(heartbeat: Heartbeat, now_ms: Millis) -> Self {
         Self {
             id: host_short_id(&heartbeat.host, heartbeat.incarnation),
-            beat: heartbeat.sequence,
-            heard_ms: now_ms,
-            beat_sends: 0,
-            emitted_ms: now_ms,
-            emitted_sequence: heartbeat.sequence,
-            sends_left: heartbeat_sends(&heartbeat),
-            full_sent_ms: Millis(0),
+            newest_sequence: heartbeat.sequence,
+            last_received_ms: now_ms,
+            compact_sends: 0,
+            last_event_ms: now_ms,
+            last_event_sequence: heartbeat.sequence,
+            full_sends_left: full_sends_for_heartbeat(&heartbeat),
+            full_last_sent_ms: Millis(0),
             heartbeat,
         }
     }
 
     /// Whether it was heard recently.
     pub fn is_live(&self, now_ms: Millis) -> bool {
-        now_ms - self.heard_ms < HOST_FORGET_MS
+        now_ms - self.last_received_ms < HOST_FORGET_MS
     }
 
     /// The heartbeat as an event, numbered so that it replaces earlier ones.
     fn next_event(&mut self, now_ms: Millis) -> GossipEvent {
-        self.emitted_ms = now_ms;
-        self.emitted_sequence = self.beat.max(self.emitted_sequence + 1);
+        self.last_event_ms = now_ms;
+        self.last_event_sequence = self.newest_sequence.max(self.last_event_sequence + 1);
         let mut heartbeat = self.heartbeat.clone();
-        heartbeat.sequence = self.emitted_sequence;
+        heartbeat.sequence = self.last_event_sequence;
         GossipEvent::Heartbeat(heartbeat)
     }
 }
@@ -136,13 +136,13 @@
     /// Short name of this run.
     pub id: ShortId,
     /// When the newest report arrived here.
-    pub heard_ms: Millis,
+    pub last_received_ms: Millis,
     /// How often the full fact is still sent with priority.
-    pub sends_left: u8,
+    pub full_sends_left: u8,
     /// When the full fact was last sent.
-    pub full_sent_ms: Millis,
+    pub full_last_sent_ms: Millis,
     /// How often the current load was sent.
-    pub load_sends: u32,
+    pub compact_sends: u32,
 }
 
 /// A region summary with the state of its dissemination.
@@ -153,13 +153,13 @@
     /// Short name of its description.
     pub id: ShortId,
     /// When it arrived here.
-    pub heard_ms: Millis,
+    pub last_received_ms: Millis,
     /// How often the full fact is still sent with priority.
-    pub sends_left: u8,
+    pub full_sends_left: u8,
     /// When the full fact was last sent within the region.
-    pub full_sent_ms: Millis,
+    pub full_last_sent_ms: Millis,
     /// How often the current state was sent.
-    pub beat_sends: u32,
+    pub compact_sends: u32,
 }
 
 #[derive(Debug, Clone)]
@@ -208,12 +208,12 @@
             return true;
         };
         if known.heartbeat.incarnation != heartbeat.incarnation {
-            if heartbeat.sequence <= known.beat {
+            if heartbeat.sequence <= known.newest_sequence {
                 return false;
             }
             let old_id = known.id;
             let mut record = HostRecord::new(heartbeat, now_ms);
-            record.emitted_sequence = known.emitted_sequence;
+            record.last_event_sequence = known.last_event_sequence;
             self.id_owners.remove(&old_id);
             self.insert_host(record, now_ms, events);
             return true;
@@ -221,20 +221,20 @@
         if heartbeat.sequence <= known.heartbeat.sequence {
             return false;
         }
-        let is_sign_of_life = heartbeat.sequence > known.beat;
-        if is_sign_of_life {
-            known.beat = heartbeat.sequence;
-            known.beat_sends = 0;
-            known.heard_ms = now_ms;
+        let is_newer = heartbeat.sequence > known.newest_sequence;
+        if is_newer {
+            known.newest_sequence = heartbeat.sequence;
+            known.compact_sends = 0;
+            known.last_received_ms = now_ms;
         }
         let is_changed = !is_same_description(&known.heartbeat, &heartbeat);
         if is_changed {
-            known.sends_left = heartbeat_sends(&heartbeat);
+            known.full_sends_left = full_sends_for_heartbeat(&heartbeat);
         }
         let revision = heartbeat.revision.max(known.heartbeat.revision);
         known.heartbeat = heartbeat;
         known.heartbeat.revision = revision;
-        if is_sign_of_life || is_changed {
+        if is_newer || is_changed {
             events.push(known.next_event(now_ms));
         }
         is_changed
@@ -268,16 +268,16 @@
         let Some(known) = self.hosts.get_mut(host) else {
             return IdLookup::NotFound;
         };
-        if sequence <= known.beat {
+        if sequence <= known.newest_sequence {
             return IdLookup::Found;
         }
         let is_changed = revision > known.heartbeat.revision;
-        known.beat = sequence;
-        known.beat_sends = 0;
-        known.heard_ms = now_ms;
+        known.newest_sequence = sequence;
+        known.compact_sends = 0;
+        known.last_received_ms = now_ms;
         known.heartbeat.revision = revision.max(known.heartbeat.revision);
         known.heartbeat.open_requests = beat.open_requests;
-        if is_changed || now_ms - known.emitted_ms >= BEAT_EVENT_MS {
+        if is_changed || now_ms - known.last_event_ms >= MIN_HEARTBEAT_EVENT_INTERVAL_MS {
             events.push(known.next_event(now_ms));
         }
         IdLookup::Found
@@ -299,9 +299,9 @@
         // a host that has not noticed yet measures it later.
         report.is_leaving |= same_run.is_some_and(|known| known.report.is_leaving);
         let is_changed = same_run.is_none_or(|k| k.report.is_leaving != report.is_leaving);
-        let sends_left = match same_run {
-            Some(known) if !is_changed => known.sends_left,
-            _ => report_sends(&report),
+        let full_sends_left = match same_run {
+            Some(known) if !is_changed => known.full_sends_left,
+            _ => full_sends_for_report(&report),
         };
         let id = endpoint_short_id(&report.endpoint, report.incarnation);
         if let Some(old_id) = known.map(|known| known.id).filter(|old_id| *old_id != id) {
@@ -309,10 +309,10 @@
         }
         let record = EndpointRecord {
             id,
-            heard_ms: now_ms,
-            sends_left,
-            full_sent_ms: known.map_or(Millis(0), |known| known.full_sent_ms),
-            load_sends: 0,
+            last_received_ms: now_ms,
+            full_sends_left,
+            full_last_sent_ms: known.map_or(Millis(0), |known| known.full_last_sent_ms),
+            compact_sends: 0,
             report: report.clone(),
         };
         let endpoint = report.endpoint.clone();
@@ -344,8 +344,8 @@
         known.report.running = load.running;
         known.report.waiting = load.waiting;
         known.report.cache_permille = load.cache_permille;
-        known.heard_ms = now_ms;
-        known.load_sends = 0;
+        known.last_received_ms = now_ms;
+        known.compact_sends = 0;
         events.push(GossipEvent::Report(known.report.clone()));
         IdLookup::Found
     }
@@ -365,10 +365,10 @@
         let same = known.filter(|known| known.id == id);
         let record = SummaryRecord {
             id,
-            heard_ms: now_ms,
-            sends_left: same.map_or(CHANGED_SENDS, |known| known.sends_left),
-            full_sent_ms: known.map_or(Millis(0), |known| known.full_sent_ms),
-            beat_sends: 0,
+            last_received_ms: now_ms,
+            full_sends_left: same.map_or(CHANGED_RECORD_SENDS, |known| known.full_sends_left),
+            full_last_sent_ms: known.map_or(Millis(0), |known| known.full_last_sent_ms),
+            compact_sends: 0,
             summary: summary.clone(),
         };
         if let Some(old_id) = known.map(|known| known.id) {
@@ -404,23 +404,23 @@
         for (capacity, busy) in summary.capacity.iter_mut().zip(&beat.busy) {
             capacity.busy = *busy;
         }
-        known.heard_ms = now_ms;
-        known.beat_sends = 0;
+        known.last_received_ms = now_ms;
+        known.compact_sends = 0;
         events.push(GossipEvent::Summary(summary.clone()));
         IdLookup::Found
     }
 
     /// Drops what is too old to be of use.
-    pub fn forget_old(&mut self, now_ms: Millis) {
+    pub fn remove_expired(&mut self, now_ms: Millis) {
         self.hosts
-            .retain(|_, record| now_ms - record.heard_ms < HOST_KEEP_MS);
+            .retain(|_, record| now_ms - record.last_received_ms < HOST_RETENTION_MS);
         self.endpoints
-            .retain(|_, record| now_ms - record.heard_ms < ENDPOINT_KEEP_MS);
+            .retain(|_, record| now_ms - record.last_received_ms < ENDPOINT_RETENTION_MS);
         self.summaries
-            .retain(|_, record| now_ms - record.heard_ms < SUMMARY_KEEP_MS);
+            .retain(|_, record| now_ms - record.last_received_ms < SUMMARY_RETENTION_MS);
         let (hosts, endpoints) = (&self.hosts, &self.endpoints);
         let summaries = &self.summaries;
-        self.id_owners.retain(|_, subject| match subject {
+        self.id_owners.retain(|_, owner| match owner {
             IdOwner::Host(host) => hosts.contains_key(host),
             IdOwner::Endpoint(endpoint) => endpoints.contains_key(endpoint),
             IdOwner::Region(region) => summaries.contains_key(region),
@@ -460,19 +460,19 @@
     *known == same
 }
 
-fn heartbeat_sends(heartbeat: &Heartbeat) -> u8 {
+fn full_sends_for_heartbeat(heartbeat: &Heartbeat) -> u8 {
     if heartbeat.is_leaving {
-        LEAVING_SENDS
+        LEAVING_RECORD_SENDS
     } else {
-        CHANGED_SENDS
+        CHANGED_RECORD_SENDS
     }
 }
 
-fn report_sends(report: &EndpointReport) -> u8 {
+fn full_sends_for_report(report: &EndpointReport) -> u8 {
     if report.is_leaving {
-        LEAVING_SENDS
+        LEAVING_RECORD_SENDS
     } else {
-        CHANGED_SENDS
+        CHANGED_RECORD_SENDS
     }
 }
 
@@ -495,14 +495,14 @@
     for forward in &summary.hosts {
         let _ = write!(text, "/{}/{}", forward.host, forward.peer_address);
     }
-    hash_id(&text)
+    short_id_of(&text)
 }
 
 fn short_id(kind: &str, name: &str, incarnation: Incarnation) -> ShortId {
-    hash_id(&format!("{kind}/{name}/{incarnation}"))
+    short_id_of(&format!("{kind}/{name}/{incarnation}"))
 }
 
-fn hash_id(text: &str) -> ShortId {
+fn short_id_of(text: &str) -> ShortId {
     let hash = xxh3_64(text.as_bytes());
     // 32 bits make two of the 250 names of a full-size region collide with a
     // probability below 1 in 100,000.
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -23,9 +23,9 @@
             Gossip,
             GossipConfig,
             GossipEvent,
-            Outgoing,
-            measure,
-            measure_regions, //
+            OutgoingDatagram,
+            measure_cross_region,
+            measure_region, //
         },
         rendezvous_rank,
         socket::{
@@ -61,7 +61,7 @@
 /// Hosts with a seeded in-memory delivery between them.
 struct Net {
     nodes: Vec<Node>,
-    in_transit: BTreeMap<Millis, Vec<(usize, Outgoing)>>,
+    in_transit: BTreeMap<Millis, Vec<(usize, OutgoingDatagram)>>,
     rng: Pcg64Mcg,
     now_ms: Millis,
     loss_percent: u32,
@@ -161,7 +161,7 @@
         cut.is_some_and(|(x, y)| (a, b) == (x, y) || (a, b) == (y, x))
     }
 
-    fn post(&mut self, from: usize, out: Vec<Outgoing>) {
+    fn post(&mut self, from: usize, out: Vec<OutgoingDatagram>) {
         for datagram in out {
             let to = usize::from(datagram.to.port() - 7_000);
             if self.rng.random_range(0..100) < self.loss_percent || self.is_cut(from, to) {
@@ -503,7 +503,7 @@
 #[test]
 fn the_byte_budget_holds_at_full_size() {
     for (hosts, endpoints) in [(3, 12), (9, 24), (66, 180), (132, 360)] {
-        let cost = measure(hosts, endpoints, 20);
+        let cost = measure_region(hosts, endpoints, 20);
         println!("{cost:?}");
 
         assert!(cost.mean_bytes_per_s < 11_000.0, "{cost:?}");
@@ -518,7 +518,7 @@
 #[test]
 fn a_revision_reaches_56_regions_in_time_and_within_the_budget() {
     for (regions, hosts) in [(3, 3), (56, 4)] {
-        let cost = measure_regions(regions, hosts, 10);
+        let cost = measure_cross_region(regions, hosts, 10);
         println!("{cost:?}");
 
         assert!(cost.max_bytes_per_s < 11_000.0, "{cost:?}");
