--- a/src/burn_collector.rs
+++ b/src/burn_collector.rs
@@ -17,7 +17,7 @@
     peer::{
         client::{
             PeerClient,
-            Question, //
+            PeerRequest, //
         },
         frame::Frame, //
     },
@@ -55,19 +55,19 @@
     }
 
     fn ask(&self, host: &HostId, address: SocketAddr) -> Option<BurnReport> {
-        let question = Question {
+        let request = PeerRequest {
             host,
             address,
-            request: &Frame::Burn,
+            frame: &Frame::GetBurnReport,
             body: &[],
-            limit_bytes: MAX_REPORT_BYTES,
+            max_response_bytes: MAX_REPORT_BYTES,
             deadline: Instant::now() + ASK_TIMEOUT,
         };
-        let answer = self.peers.ask(&question).ok()?;
+        let answer = self.peers.request(&request).ok()?;
         if answer.frame != Frame::BurnReport {
             return None;
         }
-        BurnReport::decode(&answer.bytes).ok()
+        BurnReport::decode(&answer.payload).ok()
     }
 }
 
--- a/src/catch_up.rs
+++ b/src/catch_up.rs
@@ -15,9 +15,9 @@
 use crate::{
     peer::{
         client::{
-            AskError,
             PeerClient,
-            Question, //
+            PeerRequest,
+            PeerRequestError, //
         },
         frame::Frame,
         gossip::RevisionSource, //
@@ -36,7 +36,7 @@
 pub enum FetchError {
     /// The other host did not answer.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] PeerRequestError),
     /// The answer is not a set of changes.
     #[error("the answer is not a set of changes: {0}")]
     Content(#[from] postcard::Error),
@@ -87,19 +87,19 @@
     peers: &PeerClient,
     configuration: &Configuration,
 ) -> Result<ChangeSet, FetchError> {
-    let request = Frame::ChangesSince {
+    let request = Frame::GetChanges {
         revision: configuration.in_force.revision(),
     };
-    let answer = peers.ask(&Question {
+    let answer = peers.request(&PeerRequest {
         host: &source.host,
         address: source.peer_address,
-        request: &request,
+        frame: &request,
         body: &[],
-        limit_bytes: MAX_CHANGES_BYTES,
+        max_response_bytes: MAX_CHANGES_BYTES,
         deadline: Instant::now() + FETCH_TIMEOUT,
     })?;
     if answer.frame != Frame::Changes {
         return Err(FetchError::NoChanges);
     }
-    Ok(postcard::from_bytes(&answer.bytes)?)
+    Ok(postcard::from_bytes(&answer.payload)?)
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -217,8 +217,8 @@
             host: config.host.clone(),
             incarnation,
         };
-        let peers =
-            PeerClient::new(key.clone(), identity.clone()).with_source(config.peer_address.ip());
+        let peers = PeerClient::new(key.clone(), identity.clone())
+            .with_source_address(config.peer_address.ip());
         let relay = RelayContext {
             decider: decider.clone(),
             peers: peers.clone(),
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -16,7 +16,7 @@
     peer::{
         client::{
             PeerClient,
-            Question, //
+            PeerRequest, //
         },
         frame::Frame, //
     },
@@ -83,14 +83,14 @@
 
     fn send(&self, successor: &Owner, table: &[u8]) -> bool {
         let request = Frame::TicketHandover {
-            body: Bytes(table.len() as u64),
+            body_bytes: Bytes(table.len() as u64),
         };
-        let answer = self.peers.ask(&Question {
+        let answer = self.peers.request(&PeerRequest {
             host: &successor.run.host,
             address: successor.peer_address,
-            request: &request,
+            frame: &request,
             body: table,
-            limit_bytes: 0,
+            max_response_bytes: 0,
             deadline: Instant::now() + SEND_TIMEOUT,
         });
         answer.is_ok_and(|answer| answer.frame == Frame::Ack)
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -36,7 +36,7 @@
     frame::{
         Frame,
         MAX_BODY_BYTES,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     link::{
@@ -66,7 +66,7 @@
 
 /// A request that could not be sent whole.
 #[derive(Debug, Error)]
-pub enum StartError {
+pub enum SendError {
     /// No byte of it was sent.
     #[error("nothing was sent: {error}")]
     NotSent {
@@ -78,7 +78,7 @@
     },
     /// Part of it may have arrived.
     #[error("the request was sent in part: {error}")]
-    Sent {
+    PartlySent {
         /// The request may have run.
         sent: Sent,
         /// Why.
@@ -89,28 +89,28 @@
 
 /// Why a question to another host has no answer.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum PeerRequestError {
     /// The other host could not be used.
     #[error(transparent)]
     Link(#[from] LinkError),
     /// The question could not be sent.
     #[error(transparent)]
-    Start(#[from] StartError),
+    Send(#[from] SendError),
 }
 
 /// A question that another host answers as a whole.
 #[derive(Debug)]
-pub struct Question<'a> {
+pub struct PeerRequest<'a> {
     /// The host.
     pub host: &'a HostId,
     /// Its address for other hosts.
     pub address: SocketAddr,
     /// The request.
-    pub request: &'a Frame,
+    pub frame: &'a Frame,
     /// Body of the request.
     pub body: &'a [u8],
     /// Longest answer that is accepted.
-    pub limit_bytes: usize,
+    pub max_response_bytes: usize,
     /// When the answer is of no use any more.
     pub deadline: Instant,
 }
@@ -159,19 +159,19 @@
 #[derive(Debug, Clone)]
 pub struct PeerClient {
     key: ClusterKey,
-    own: PeerIdentity,
-    source: Option<IpAddr>,
+    identity: PeerIdentity,
+    source_address: Option<IpAddr>,
     max_connections: usize,
     pools: Arc<Pools>,
 }
 
 impl PeerClient {
     /// No connections yet.
-    pub fn new(key: ClusterKey, own: PeerIdentity) -> Self {
+    pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
-            own,
-            source: None,
+            identity,
+            source_address: None,
             max_connections: MAX_CONNECTIONS_PER_HOST,
             pools: Arc::new(Pools {
                 by_address: Mutex::new(HashMap::new()),
@@ -185,10 +185,10 @@
         self
     }
 
-    /// The same with connections that come from `source`, for a host with several
+    /// The same with connections that come from `source_address`, for a host with several
     /// addresses.
-    pub fn with_source(mut self, source: IpAddr) -> Self {
-        self.source = Some(source);
+    pub fn with_source_address(mut self, source_address: IpAddr) -> Self {
+        self.source_address = Some(source_address);
         self
     }
 
@@ -201,38 +201,38 @@
     ///
     /// For questions that may be repeated, or whose asker takes any failure as an
     /// unknown outcome.
-    pub fn ask(&self, question: &Question<'_>) -> Result<Message, AskError> {
-        let deadline = question.deadline;
-        let ready = self.prepare(Some(question.host), question.address, deadline)?;
-        let mut exchange = ready.start(Unsent::new(), question.request, question.body, deadline)?;
-        Ok(exchange.collect(question.limit_bytes, deadline)?)
+    pub fn request(&self, request: &PeerRequest<'_>) -> Result<Message, PeerRequestError> {
+        let deadline = request.deadline;
+        let ready = self.acquire(Some(request.host), request.address, deadline)?;
+        let mut exchange = ready.send(Unsent::new(), request.frame, request.body, deadline)?;
+        Ok(exchange.collect(request.max_response_bytes, deadline)?)
     }
 
     /// Gets a live connection without sending any part of a request.
     ///
     /// With `host`, a connection to any other host is refused.
-    pub fn prepare(
+    pub fn acquire(
         &self,
         host: Option<&HostId>,
         address: SocketAddr,
         deadline: Instant,
-    ) -> Result<Ready, LinkError> {
+    ) -> Result<ReadyConnection, LinkError> {
         let slot = self.take_slot(address)?;
-        while let Some(link) = self.take_idle(address) {
+        while let Some(link) = self.take_idle_link(address) {
             if link.is_idle() && check_host(&link, host).is_ok() {
-                return Ok(Ready { link, slot });
+                return Ok(ReadyConnection { link, slot });
             }
         }
         let deadline = deadline.min(Instant::now() + HANDSHAKE_TIMEOUT);
         let stream = self.connect(address, remaining(deadline)?)?;
-        let link = Link::connect(stream, &self.key, &self.own, deadline)?;
+        let link = Link::connect(stream, &self.key, &self.identity, deadline)?;
         check_host(&link, host)?;
-        Ok(Ready { link, slot })
+        Ok(ReadyConnection { link, slot })
     }
 
     fn connect(&self, address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        if let Some(source) = self.source {
+        if let Some(source) = self.source_address {
             socket.bind(&SocketAddr::new(source, 0).into())?;
         }
         socket.connect_timeout(&address.into(), timeout)?;
@@ -255,7 +255,7 @@
     }
 
     /// The connection used last, which is the least likely to have been closed.
-    fn take_idle(&self, address: SocketAddr) -> Option<Link> {
+    fn take_idle_link(&self, address: SocketAddr) -> Option<Link> {
         let mut pools = self.pools.lock();
         let pool = pools.get_mut(&address)?;
         pool.idle
@@ -287,12 +287,12 @@
 
 /// A live connection on which nothing of a request was sent.
 #[derive(Debug)]
-pub struct Ready {
+pub struct ReadyConnection {
     link: Link,
     slot: Slot,
 }
 
-impl Ready {
+impl ReadyConnection {
     /// The host at the other end.
     pub fn peer(&self) -> &PeerIdentity {
         self.link.peer()
@@ -301,32 +301,32 @@
     /// Sends a request frame and its body.
     ///
     /// The body must have the length that the frame announces.
-    pub fn start(
+    pub fn send(
         mut self,
         unsent: Unsent,
         request: &Frame,
         body: &[u8],
         deadline: Instant,
-    ) -> Result<Exchange, StartError> {
+    ) -> Result<Exchange, SendError> {
         if let Err(error) = self.check(request, body) {
-            return Err(StartError::NotSent { unsent, error });
+            return Err(SendError::NotSent { unsent, error });
         }
         self.link.exchange += 1;
         if let Err(failed) = self.link.write_frame(request, &[], deadline) {
             let error = failed.error;
             return Err(match failed.written {
-                0 => StartError::NotSent { unsent, error },
-                _ => StartError::Sent {
+                0 => SendError::NotSent { unsent, error },
+                _ => SendError::PartlySent {
                     sent: unsent.mark_sent(),
                     error,
                 },
             });
         }
         let sent = unsent.mark_sent();
-        for piece in body.chunks(MAX_PIECE_BYTES) {
-            if let Err(failed) = self.link.write_frame(&Frame::Body, piece, deadline) {
+        for piece in body.chunks(MAX_PAYLOAD_BYTES) {
+            if let Err(failed) = self.link.write_frame(&Frame::RequestBody, piece, deadline) {
                 let error = failed.error;
-                return Err(StartError::Sent { sent, error });
+                return Err(SendError::PartlySent { sent, error });
             }
         }
         Ok(Exchange {
@@ -342,7 +342,7 @@
                 "the frame does not start an exchange",
             ));
         }
-        if request.body().0 != body.len() as u64 {
+        if request.body_bytes().0 != body.len() as u64 {
             return Err(LinkError::Unexpected("the body has another length"));
         }
         if body.len() > MAX_BODY_BYTES {
@@ -372,7 +372,7 @@
 impl Exchange {
     /// Reads the next answer frame; after a final one the connection returns to
     /// the pool. A read that timed out may be repeated, other errors are final.
-    pub fn next(&mut self, deadline: Instant) -> Result<Message, LinkError> {
+    pub fn next_message(&mut self, deadline: Instant) -> Result<Message, LinkError> {
         let link = self.link.as_mut().ok_or(LinkError::Closed)?;
         let message = match link.read_frame(deadline) {
             Err(LinkError::TimedOut) => return Err(LinkError::TimedOut),
@@ -382,9 +382,12 @@
             }
             Ok(message) => message,
         };
-        let is_answer = matches!(message.frame, Frame::Head { .. } | Frame::Piece);
+        let is_answer = matches!(
+            message.frame,
+            Frame::ResponseHead { .. } | Frame::ResponseBody
+        );
         if message.frame.is_final() {
-            self.return_link();
+            self.return_to_pool();
         } else if !is_answer {
             self.link = None;
             return Err(LinkError::Unexpected("the frame is not part of an answer"));
@@ -395,20 +398,20 @@
     /// Reads until the final frame and joins the bytes beside the frames, up to
     /// `limit_bytes`.
     pub fn collect(&mut self, limit_bytes: usize, deadline: Instant) -> Result<Message, LinkError> {
-        let mut bytes = Vec::new();
+        let mut payload = Vec::new();
         loop {
-            let message = self.next(deadline)?;
-            bytes.extend_from_slice(&message.bytes);
-            if bytes.len() > limit_bytes {
+            let message = self.next_message(deadline)?;
+            payload.extend_from_slice(&message.payload);
+            if payload.len() > limit_bytes {
                 self.link = None;
                 return Err(LinkError::TooLong {
-                    bytes: bytes.len(),
+                    bytes: payload.len(),
                     limit_bytes,
                 });
             }
             if message.frame.is_final() {
                 let frame = message.frame;
-                return Ok(Message { frame, bytes });
+                return Ok(Message { frame, payload });
             }
         }
     }
@@ -431,7 +434,7 @@
         self.sent
     }
 
-    fn return_link(&mut self) {
+    fn return_to_pool(&mut self) {
         let Some(link) = self.link.take() else {
             return;
         };
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -31,7 +31,7 @@
 };
 
 /// Most bytes that travel beside one frame.
-pub const MAX_PIECE_BYTES: usize = 1024 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 1024 * 1024;
 /// Longest body of a request frame, over all its pieces.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
@@ -56,9 +56,9 @@
     /// Scheduling class.
     pub tier: Tier,
     /// Estimated prompt length.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Most tokens that may be generated.
-    pub max_output: Tokens,
+    pub max_output_tokens: Tokens,
     /// Hashes of the prompt's leading blocks, each covering all before it.
     pub prefix_hashes: Vec<u64>,
     /// Instant by which the whole answer is due.
@@ -79,8 +79,8 @@
     pub headers: Vec<Field>,
     /// Whether the answer is a stream of server-sent events.
     pub is_stream: bool,
-    /// Length of the body that follows in [`Frame::Body`] frames.
-    pub body: Bytes,
+    /// Length of the body that follows in [`Frame::RequestBody`] frames.
+    pub body_bytes: Bytes,
 }
 
 /// One frame.
@@ -97,14 +97,14 @@
         head: ForwardHead,
     },
     /// Request: the state of a ticket that the receiver issued.
-    TicketState {
+    GetTicketStatus {
         /// The ticket.
         ticket: CompactString,
         /// The caller that presented it.
         caller: CallerId,
     },
     /// Request: void a ticket that has not started.
-    TicketVoid {
+    CancelTicket {
         /// The ticket.
         ticket: CompactString,
         /// The caller that presented it.
@@ -112,37 +112,37 @@
     },
     /// Request: take over the ticket table of a leaving host.
     TicketHandover {
-        /// Length of the table that follows in [`Frame::Body`] frames.
-        body: Bytes,
+        /// Length of the table that follows in [`Frame::RequestBody`] frames.
+        body_bytes: Bytes,
     },
     /// Request: the configuration changes after a revision.
-    ChangesSince {
+    GetChanges {
         /// Revision that the sender has in force.
         revision: Revision,
     },
     /// Request: the receiver's service-level burn.
-    Burn,
+    GetBurnReport,
     /// Request: an acknowledgement.
     Ping,
     /// Bytes of a request's body.
-    Body,
+    RequestBody,
     /// The sender no longer wants the answer.
     Cancel,
     /// Answer: status and fields.
-    Head {
+    ResponseHead {
         /// HTTP status.
         status: u16,
         /// Header fields.
         headers: Vec<Field>,
     },
     /// Answer: bytes of the body, or of a long final answer.
-    Piece,
+    ResponseBody,
     /// Final answer: the whole body was sent.
-    End {
+    ResponseEnd {
         /// Generated tokens.
-        output: Tokens,
+        output_tokens: Tokens,
         /// Prompt tokens that the endpoint had cached.
-        cached: Tokens,
+        cached_tokens: Tokens,
     },
     /// Final answer: the request was given up before any part of its answer.
     Refused {
@@ -152,11 +152,11 @@
         run_state: RunStateWord,
     },
     /// Final answer: the answer broke off.
-    Broken {
+    Aborted {
         /// Whether it ran.
         run_state: RunStateWord,
         /// Tokens that were sent before.
-        delivered: Tokens,
+        delivered_tokens: Tokens,
     },
     /// Final answer: changes, or the whole configuration, beside the frame.
     Changes,
@@ -167,17 +167,17 @@
     /// Final answer: done.
     Ack,
     /// Request: the endpoint list as the receiver knows it.
-    Endpoints,
+    GetEndpoints,
     /// Final answer: an endpoint list, beside the frame.
     EndpointList,
 }
 
 impl Frame {
     /// Length of the body that follows a request frame.
-    pub fn body(&self) -> Bytes {
+    pub fn body_bytes(&self) -> Bytes {
         match self {
-            Self::Forward(head) | Self::TicketCall { head, .. } => head.body,
-            Self::TicketHandover { body } => *body,
+            Self::Forward(head) | Self::TicketCall { head, .. } => head.body_bytes,
+            Self::TicketHandover { body_bytes } => *body_bytes,
             _ => Bytes(0),
         }
     }
@@ -196,13 +196,13 @@
             self,
             Self::Forward(_)
                 | Self::TicketCall { .. }
-                | Self::TicketState { .. }
-                | Self::TicketVoid { .. }
+                | Self::GetTicketStatus { .. }
+                | Self::CancelTicket { .. }
                 | Self::TicketHandover { .. }
-                | Self::ChangesSince { .. }
-                | Self::Burn
+                | Self::GetChanges { .. }
+                | Self::GetBurnReport
                 | Self::Ping
-                | Self::Endpoints
+                | Self::GetEndpoints
         )
     }
 
@@ -210,9 +210,9 @@
     pub fn is_final(&self) -> bool {
         matches!(
             self,
-            Self::End { .. }
+            Self::ResponseEnd { .. }
                 | Self::Refused { .. }
-                | Self::Broken { .. }
+                | Self::Aborted { .. }
                 | Self::Changes
                 | Self::TicketStatus
                 | Self::BurnReport
@@ -228,5 +228,5 @@
     /// The frame.
     pub frame: Frame,
     /// Bytes beside it.
-    pub bytes: Vec<u8>,
+    pub payload: Vec<u8>,
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -31,7 +31,7 @@
 use super::{
     frame::{
         Frame,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     wire::{
@@ -52,7 +52,7 @@
 /// Room for an envelope next to a full piece: a forwarded head with 4,096
 /// prefix hashes and 16 KiB of header fields fits.
 const MAX_ENVELOPE_BYTES: usize = 64 * 1024;
-const MAX_FRAME_BYTES: usize = MAX_PIECE_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
+const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
 const MAX_HANDSHAKE_BYTES: usize = 512;
 const LENGTH_BYTES: usize = 4;
 const READ_BYTES: usize = 16 * 1024;
@@ -383,7 +383,7 @@
             postcard::take_from_bytes::<Envelope>(content).map_err(|_| LinkError::Malformed)?;
         let message = Message {
             frame: envelope.frame,
-            bytes: bytes.to_vec(),
+            payload: bytes.to_vec(),
         };
         Ok((envelope.exchange, message))
     }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -35,7 +35,7 @@
     frame::{
         Frame,
         MAX_BODY_BYTES,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     link::{
@@ -208,7 +208,7 @@
         while let Some(request) = self.next_request(link)? {
             check_origin(&request, link.peer())?;
             let mut exchange = ServerExchange {
-                body_left: request.body().0,
+                body_left: request.body_bytes().0,
                 link,
                 request,
                 is_ended: false,
@@ -287,12 +287,12 @@
             found: exchange,
         });
     }
-    if !message.frame.is_request() || !message.bytes.is_empty() {
+    if !message.frame.is_request() || !message.payload.is_empty() {
         return Err(LinkError::Unexpected(
             "the frame does not start an exchange",
         ));
     }
-    let body_bytes = message.frame.body().0;
+    let body_bytes = message.frame.body_bytes().0;
     if body_bytes > MAX_BODY_BYTES as u64 {
         return Err(LinkError::TooLong {
             bytes: usize::try_from(body_bytes).unwrap_or(usize::MAX),
@@ -366,19 +366,19 @@
         while self.body_left > 0 {
             let message = self.link.read_frame(deadline)?;
             match message.frame {
-                Frame::Body => {}
+                Frame::RequestBody => {}
                 Frame::Cancel => {
                     self.is_cancelled = true;
                     return Err(LinkError::Closed);
                 }
                 _ => return Err(LinkError::Unexpected("a body frame was expected")),
             }
-            let bytes = message.bytes.len() as u64;
+            let bytes = message.payload.len() as u64;
             if bytes == 0 || bytes > self.body_left {
                 return Err(LinkError::Unexpected("the body has another length"));
             }
             self.body_left -= bytes;
-            body.extend_from_slice(&message.bytes);
+            body.extend_from_slice(&message.payload);
         }
         Ok(body)
     }
@@ -414,9 +414,9 @@
         deadline: Instant,
     ) -> Result<(), LinkError> {
         let mut rest = bytes;
-        while rest.len() > MAX_PIECE_BYTES {
-            let (piece, later) = rest.split_at(MAX_PIECE_BYTES);
-            self.write(&Frame::Piece, piece, deadline)?;
+        while rest.len() > MAX_PAYLOAD_BYTES {
+            let (piece, later) = rest.split_at(MAX_PAYLOAD_BYTES);
+            self.write(&Frame::ResponseBody, piece, deadline)?;
             rest = later;
         }
         self.write(frame, rest, deadline)
--- a/src/peer_list.rs
+++ b/src/peer_list.rs
@@ -22,9 +22,9 @@
     },
     peer::{
         client::{
-            AskError,
             PeerClient,
-            Question, //
+            PeerRequest,
+            PeerRequestError, //
         },
         frame::Frame, //
     },
@@ -42,7 +42,7 @@
     NoHost,
     /// The other host did not answer.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] PeerRequestError),
     /// The answer is not a list.
     #[error("the answer is not a list of endpoints: {0}")]
     Content(#[from] postcard::Error),
@@ -98,16 +98,16 @@
 }
 
 fn fetch_from(host: &HostState, peers: &PeerClient) -> Result<Vec<EndpointInfo>, PeerListError> {
-    let answer = peers.ask(&Question {
+    let answer = peers.request(&PeerRequest {
         host: &host.heartbeat.host,
         address: host.heartbeat.peer_address,
-        request: &Frame::Endpoints,
+        frame: &Frame::GetEndpoints,
         body: &[],
-        limit_bytes: MAX_LIST_BYTES,
+        max_response_bytes: MAX_LIST_BYTES,
         deadline: Instant::now() + FETCH_TIMEOUT,
     })?;
     if answer.frame != Frame::EndpointList {
         return Err(PeerListError::NoList);
     }
-    Ok(postcard::from_bytes(&answer.bytes)?)
+    Ok(postcard::from_bytes(&answer.payload)?)
 }
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -88,17 +88,17 @@
 pub fn serve(context: &PeerContext, exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
     match exchange.request().clone() {
         Frame::Forward(head) => forwarded(context, exchange, head),
-        Frame::ChangesSince { revision } => changes(context, exchange, revision),
+        Frame::GetChanges { revision } => changes(context, exchange, revision),
         Frame::TicketCall { ticket, head } => ticket_call(context, exchange, &ticket, head),
-        Frame::TicketState { ticket, caller } => {
+        Frame::GetTicketStatus { ticket, caller } => {
             ticket_request(context, exchange, &ticket, &caller, TicketRequest::State)
         }
-        Frame::TicketVoid { ticket, caller } => {
+        Frame::CancelTicket { ticket, caller } => {
             ticket_request(context, exchange, &ticket, &caller, TicketRequest::Void)
         }
         Frame::TicketHandover { .. } => handover(context, exchange),
-        Frame::Burn => burn(context, exchange),
-        Frame::Endpoints => endpoints(context, exchange),
+        Frame::GetBurnReport => burn(context, exchange),
+        Frame::GetEndpoints => endpoints(context, exchange),
         _ => Err(LinkError::Unexpected("the request is not supported")),
     }
 }
@@ -247,9 +247,9 @@
 ) -> Result<(), LinkError> {
     let run_state = state.word();
     let frame = match run_state {
-        RunStateWord::Partial => Frame::Broken {
+        RunStateWord::Partial => Frame::Aborted {
             run_state,
-            delivered: Tokens(0),
+            delivered_tokens: Tokens(0),
         },
         RunStateWord::NotRun | RunStateWord::Unknown => Frame::Refused { refusal, run_state },
     };
@@ -277,10 +277,10 @@
         caller: head.caller,
         target: head.target,
         tier: head.tier,
-        prompt: head.prompt,
-        max_output: head.max_output,
+        prompt: head.prompt_tokens,
+        max_output: head.max_output_tokens,
         prefix_hashes: head.prefix_hashes,
-        body: head.body,
+        body: head.body_bytes,
         deadline_ms: head.deadline_ms,
         is_repeatable: head.is_repeatable,
         needs_continuation,
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -34,7 +34,7 @@
         Unsent, //
     },
     peer::{
-        client::StartError,
+        client::SendError,
         frame::Frame, //
     },
     types::{
@@ -121,7 +121,7 @@
         let request = self.arrival.request;
         let peers = &self.context.peers;
         let ready = peers
-            .prepare(Some(host), address, self.deadline)
+            .acquire(Some(host), address, self.deadline)
             .map_err(|error| {
                 tracing::debug!(%request, %host, %error, "could not reach the host");
                 AttemptOutcome::NotSent
@@ -135,13 +135,13 @@
             Claim::Unsent(unsent) => (unsent, None),
             other => (Unsent::new(), Some(other)),
         };
-        let (claim, result) = match ready.start(unsent, &frame, &call.body, self.deadline) {
+        let (claim, result) = match ready.send(unsent, &frame, &call.body, self.deadline) {
             Ok(exchange) => (Claim::Sent(Unsent::new().mark_sent()), Ok(exchange)),
-            Err(StartError::NotSent { unsent, error }) => {
+            Err(SendError::NotSent { unsent, error }) => {
                 tracing::debug!(%request, %host, %error, "could not send");
                 (Claim::Unsent(unsent), Err(AttemptOutcome::NotSent))
             }
-            Err(StartError::Sent { sent, error }) => {
+            Err(SendError::PartlySent { sent, error }) => {
                 tracing::debug!(%request, %host, %error, "could not send all");
                 (Claim::Sent(sent), Err(self.interrupted()))
             }
--- a/src/relay/forward.rs
+++ b/src/relay/forward.rs
@@ -62,8 +62,8 @@
         caller: arrival.caller.clone(),
         target: arrival.target.clone(),
         tier: arrival.tier,
-        prompt: arrival.prompt,
-        max_output: arrival.max_output,
+        prompt_tokens: arrival.prompt,
+        max_output_tokens: arrival.max_output,
         prefix_hashes: arrival.prefix_hashes.clone(),
         deadline_ms: arrival.deadline_ms,
         is_repeatable: arrival.is_repeatable,
@@ -74,6 +74,6 @@
         path: call.path.clone(),
         headers: upstream::to_fields(&call.headers),
         is_stream,
-        body: Bytes(call.body.len() as u64),
+        body_bytes: Bytes(call.body.len() as u64),
     }
 }
--- a/src/sink.rs
+++ b/src/sink.rs
@@ -248,7 +248,7 @@
 
     fn head(&mut self, status: u16, headers: &Headers) -> Result<(), MessageError> {
         let headers = upstream::to_fields(headers);
-        let frame = Frame::Head { status, headers };
+        let frame = Frame::ResponseHead { status, headers };
         self.exchange
             .send(&frame, &[], deadline())
             .map_err(|_| MessageError::Closed)
@@ -256,15 +256,15 @@
 
     fn piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         self.exchange
-            .send(&Frame::Piece, bytes, deadline())
+            .send(&Frame::ResponseBody, bytes, deadline())
             .map_err(|_| MessageError::Closed)
     }
 
     fn end(&mut self) -> Result<(), MessageError> {
         // The host that asked counts the tokens itself.
-        let frame = Frame::End {
-            output: Tokens(0),
-            cached: Tokens(0),
+        let frame = Frame::ResponseEnd {
+            output_tokens: Tokens(0),
+            cached_tokens: Tokens(0),
         };
         self.exchange
             .finish(&frame, &[], deadline())
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -34,7 +34,7 @@
         Unsent, //
     },
     peer::{
-        client::Question,
+        client::PeerRequest,
         frame::Frame, //
     },
     plain_answer::{
@@ -394,12 +394,12 @@
             }
             TicketRequest::State => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
-                let frame = Frame::TicketState { ticket, caller };
+                let frame = Frame::GetTicketStatus { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
             TicketRequest::Void => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
-                let frame = Frame::TicketVoid { ticket, caller };
+                let frame = Frame::CancelTicket { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
         };
@@ -418,18 +418,18 @@
         body: &[u8],
         deadline: Instant,
     ) -> Option<PlainAnswer> {
-        let question = Question {
+        let request = PeerRequest {
             host: &owner.run.host,
             address: owner.peer_address,
-            request: frame,
+            frame,
             body,
-            limit_bytes: MAX_ANSWER_BYTES,
+            max_response_bytes: MAX_ANSWER_BYTES,
             deadline,
         };
         let answer = self
             .relay
             .peers
-            .ask(&question)
+            .request(&request)
             .inspect_err(|error| {
                 tracing::debug!(host = %owner.run.host, %error, "the owner did not answer");
             })
@@ -437,7 +437,7 @@
         if answer.frame != Frame::TicketStatus {
             return None;
         }
-        postcard::from_bytes(&answer.bytes).ok()
+        postcard::from_bytes(&answer.payload).ok()
     }
 
     /// Stops starting calls; the table is to go to `successor`.
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -155,10 +155,10 @@
                 }))
             }
             Self::Host { exchange, is_ended } => {
-                let message = exchange.next(until)?;
+                let message = exchange.next_message(until)?;
                 *is_ended = message.frame.is_final();
                 match message.frame {
-                    Frame::Head { status, headers } => Ok(HostReply::Answer(AnswerHead {
+                    Frame::ResponseHead { status, headers } => Ok(HostReply::Answer(AnswerHead {
                         status,
                         headers: from_fields(&headers),
                     })),
@@ -181,13 +181,13 @@
             }
             Self::Host { is_ended: true, .. } => Ok(false),
             Self::Host { exchange, is_ended } => {
-                let message = exchange.next(until)?;
-                out.extend_from_slice(&message.bytes);
+                let message = exchange.next_message(until)?;
+                out.extend_from_slice(&message.payload);
                 match message.frame {
-                    Frame::Piece => Ok(true),
-                    Frame::End { .. } => {
+                    Frame::ResponseBody => Ok(true),
+                    Frame::ResponseEnd { .. } => {
                         *is_ended = true;
-                        Ok(!message.bytes.is_empty())
+                        Ok(!message.payload.is_empty())
                     }
                     _ => Err(ReadError::Broken),
                 }
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -326,8 +326,8 @@
         caller: "drevoton".parse().expect("valid caller"),
         target: Target::Model(MODEL.parse().expect("valid model")),
         tier: Tier::Default,
-        prompt: Tokens(10),
-        max_output: Tokens(4),
+        prompt_tokens: Tokens(10),
+        max_output_tokens: Tokens(4),
         prefix_hashes: Vec::new(),
         deadline_ms: clock::now() + Millis(EXCHANGE.as_millis() as u64),
         is_repeatable: true,
@@ -338,7 +338,7 @@
         path: "/v1/chat/completions".into(),
         headers: Vec::new(),
         is_stream: false,
-        body: Bytes(body.len() as u64),
+        body_bytes: Bytes(body.len() as u64),
     })
 }
 
@@ -353,7 +353,7 @@
     let deadline = Instant::now() + EXCHANGE;
     link.write_exchange_frame(1, frame, &[], deadline)
         .map_err(|failed| failed.error)?;
-    link.write_exchange_frame(1, &Frame::Body, body, deadline)
+    link.write_exchange_frame(1, &Frame::RequestBody, body, deadline)
         .map_err(|failed| failed.error)?;
     loop {
         let (_, message) = link.read_exchange_frame(deadline)?;
@@ -411,7 +411,7 @@
     let (recording, recorder) = record(address);
     let mut good = link(recording, CLUSTER_KEY, &own).expect("the key is right");
     let answer = exchange(&mut good, &forward("stred-9", 1, &body), &body);
-    assert!(matches!(answer, Ok(message) if matches!(message.frame, Frame::End { .. })));
+    assert!(matches!(answer, Ok(message) if matches!(message.frame, Frame::ResponseEnd { .. })));
     drop(good);
     let recorded = recorder.join().expect("the recorder must not panic");
 
--- a/tests/peer_link.rs
+++ b/tests/peer_link.rs
@@ -33,7 +33,7 @@
     peer::{
         client::{
             PeerClient,
-            StartError, //
+            SendError, //
         },
         frame::{
             Field,
@@ -86,14 +86,14 @@
 
 fn handover() -> Frame {
     Frame::TicketHandover {
-        body: Bytes(BODY_BYTES as u64),
+        body_bytes: Bytes(BODY_BYTES as u64),
     }
 }
 
 fn end() -> Frame {
-    Frame::End {
-        output: Tokens(2),
-        cached: Tokens(1),
+    Frame::ResponseEnd {
+        output_tokens: Tokens(2),
+        cached_tokens: Tokens(1),
     }
 }
 
@@ -141,22 +141,26 @@
 /// Reads the body and answers it in two pieces between head and end.
 fn echo_length(exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
     let body = exchange.read_body(soon())?;
-    let head = Frame::Head {
+    let head = Frame::ResponseHead {
         status: 200,
         headers: Vec::new(),
     };
     exchange.send(&head, &[], soon())?;
-    exchange.send(&Frame::Piece, body.len().to_string().as_bytes(), soon())?;
-    exchange.send(&Frame::Piece, b" bytes", soon())?;
+    exchange.send(
+        &Frame::ResponseBody,
+        body.len().to_string().as_bytes(),
+        soon(),
+    )?;
+    exchange.send(&Frame::ResponseBody, b" bytes", soon())?;
     exchange.finish(&end(), &[], soon())
 }
 
 fn call(client: &PeerClient, address: SocketAddr) -> Result<Message, LinkError> {
-    let ready = client.prepare(None, address, soon())?;
+    let ready = client.acquire(None, address, soon())?;
     let body = vec![3; BODY_BYTES];
-    let started = ready.start(Unsent::new(), &handover(), &body, soon());
+    let started = ready.send(Unsent::new(), &handover(), &body, soon());
     let mut exchange = started.map_err(|error| match error {
-        StartError::NotSent { error, .. } | StartError::Sent { error, .. } => error,
+        SendError::NotSent { error, .. } | SendError::PartlySent { error, .. } => error,
     })?;
     exchange.collect(100, soon())
 }
@@ -169,7 +173,7 @@
     for _ in 0..3 {
         let answer = call(&client, fixture.address).expect("answered");
         assert_eq!(answer.frame, end());
-        assert_eq!(answer.bytes, b"2500000 bytes");
+        assert_eq!(answer.payload, b"2500000 bytes");
     }
 
     assert_eq!(client.idle_connections(fixture.address), 1);
@@ -182,19 +186,19 @@
     let fixture = Fixture::start(server(), |exchange| {
         exchange.finish(&Frame::Changes, &vec![9; BODY_BYTES], soon())
     });
-    let ready = client().prepare(None, fixture.address, soon());
-    let request = Frame::ChangesSince {
+    let ready = client().acquire(None, fixture.address, soon());
+    let request = Frame::GetChanges {
         revision: Revision(4),
     };
 
     let started = ready
         .expect("ready")
-        .start(Unsent::new(), &request, &[], soon());
+        .send(Unsent::new(), &request, &[], soon());
     let answer = started.expect("sent").collect(BODY_BYTES, soon());
 
     let answer = answer.expect("answered");
     assert_eq!(answer.frame, Frame::Changes);
-    assert_eq!(answer.bytes, vec![9; BODY_BYTES]);
+    assert_eq!(answer.payload, vec![9; BODY_BYTES]);
 }
 
 /// What a relay does with a connection.
@@ -264,7 +268,7 @@
         });
         let address = relay(fixture.address, Fault::CutAfterClientFrames(frames));
 
-        let is_sent = match client().prepare(None, address, soon()) {
+        let is_sent = match client().acquire(None, address, soon()) {
             Err(_) => false,
             Ok(ready) => {
                 if frames == 2 {
@@ -272,9 +276,9 @@
                     assert!(fixture.wait_for(|server| server.counts().open_connections == 0));
                 }
                 let body = vec![3; BODY_BYTES];
-                match ready.start(Unsent::new(), &handover(), &body, soon()) {
-                    Err(StartError::NotSent { .. }) => false,
-                    Err(StartError::Sent { .. }) => true,
+                match ready.send(Unsent::new(), &handover(), &body, soon()) {
+                    Err(SendError::NotSent { .. }) => false,
+                    Err(SendError::PartlySent { .. }) => true,
                     Ok(mut exchange) => {
                         // The answer may race with the cut after the last piece.
                         let answer = exchange.collect(100, soon());
@@ -337,9 +341,9 @@
     });
     let client = client();
 
-    let ready = client.prepare(None, address, soon()).expect("ready");
-    let started = ready.start(Unsent::new(), &Frame::Ping, &[], soon());
-    let result = started.expect("sent").next(soon());
+    let ready = client.acquire(None, address, soon()).expect("ready");
+    let started = ready.send(Unsent::new(), &Frame::Ping, &[], soon());
+    let result = started.expect("sent").next_message(soon());
 
     let is_crossed = matches!(
         result,
@@ -373,7 +377,7 @@
     let other = PeerServer::new(ClusterKey::new(b"other"), identity("server"));
     let fixture = Fixture::start(other, echo_length);
 
-    let result = client().prepare(None, fixture.address, soon());
+    let result = client().acquire(None, fixture.address, soon());
 
     assert!(matches!(result, Err(LinkError::WrongKey)));
     assert!(fixture.wait_for(|server| server.counts().failed_handshakes == 1));
@@ -400,7 +404,7 @@
     let fixture = Fixture::start(server(), echo_length);
     let meant = identity("other").host;
 
-    let result = client().prepare(Some(&meant), fixture.address, soon());
+    let result = client().acquire(Some(&meant), fixture.address, soon());
 
     assert!(matches!(result, Err(LinkError::WrongHost { .. })));
 }
@@ -412,19 +416,19 @@
         exchange.read_body(soon())?;
         let deadline = soon();
         while !exchange.is_cancelled() && Instant::now() < deadline {
-            exchange.send(&Frame::Piece, b"token", soon())?;
+            exchange.send(&Frame::ResponseBody, b"token", soon())?;
             thread::sleep(Duration::from_millis(5));
         }
         let _ = sender.send(exchange.is_cancelled());
         Ok(())
     });
-    let ready = client().prepare(None, fixture.address, soon());
+    let ready = client().acquire(None, fixture.address, soon());
     let body = vec![3; BODY_BYTES];
     let started = ready
         .expect("ready")
-        .start(Unsent::new(), &handover(), &body, soon());
+        .send(Unsent::new(), &handover(), &body, soon());
     let mut exchange = started.expect("sent");
-    exchange.next(soon()).expect("first piece");
+    exchange.next_message(soon()).expect("first piece");
 
     let _ = exchange.cancel();
 
@@ -450,9 +454,9 @@
     assert!(call(&client, fixture.address).is_ok());
 
     let first = client
-        .prepare(None, fixture.address, soon())
+        .acquire(None, fixture.address, soon())
         .expect("ready");
-    let second = client.prepare(None, fixture.address, soon());
+    let second = client.acquire(None, fixture.address, soon());
     // A server over its limit closes the connection after the handshake.
     let other = PeerClient::new(key(), identity("client"));
     let third = call(&other, fixture.address);
@@ -474,8 +478,8 @@
         caller: "drevoton".parse().expect("valid caller"),
         target: "model/stain-advice".parse().expect("valid target"),
         tier: Tier::Priority,
-        prompt: Tokens(2_000),
-        max_output: Tokens(400),
+        prompt_tokens: Tokens(2_000),
+        max_output_tokens: Tokens(400),
         prefix_hashes: vec![1; 128],
         deadline_ms: Millis(1_700_000_000_000),
         is_repeatable: true,
@@ -489,7 +493,7 @@
             value: "application/json".into(),
         }],
         is_stream: true,
-        body: Bytes(3),
+        body_bytes: Bytes(3),
     })
 }
 
@@ -501,11 +505,11 @@
         echo_length(exchange)
     });
     let forward = |origin| {
-        let ready = client().prepare(None, fixture.address, soon());
+        let ready = client().acquire(None, fixture.address, soon());
         let request = forward_from(origin);
         let started = ready
             .expect("ready")
-            .start(Unsent::new(), &request, b"{} ", soon());
+            .send(Unsent::new(), &request, b"{} ", soon());
         started.expect("sent").collect(100, soon())
     };
 
@@ -513,7 +517,7 @@
     let own = forward("client").expect("answered");
 
     assert!(matches!(relayed, Err(LinkError::Closed)), "{relayed:?}");
-    assert_eq!(own.bytes, b"3 bytes");
+    assert_eq!(own.payload, b"3 bytes");
     assert_eq!(requests.try_recv(), Ok(forward_from("client")));
     assert!(requests.try_recv().is_err());
 }
--- a/tests/residency.rs
+++ b/tests/residency.rs
@@ -254,8 +254,8 @@
         caller: "bound".parse().expect("valid caller"),
         target: Target::Model(MODEL.parse().expect("valid model")),
         tier: Tier::Default,
-        prompt: Tokens(100),
-        max_output: Tokens(10),
+        prompt_tokens: Tokens(100),
+        max_output_tokens: Tokens(10),
         prefix_hashes: Vec::new(),
         deadline_ms: clock::now() + Millis(DEADLINE.as_millis() as u64),
         is_repeatable: true,
@@ -266,7 +266,7 @@
         path: "/v1/chat/completions".into(),
         headers: Vec::new(),
         is_stream: false,
-        body: Bytes(100_000),
+        body_bytes: Bytes(100_000),
     })
 }
 
