--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -311,7 +311,7 @@
         if let Err(error) = self.check(request, body) {
             return Err(SendError::NotSent { unsent, error });
         }
-        self.link.exchange += 1;
+        self.link.exchange_number += 1;
         if let Err(failed) = self.link.write_frame(request, &[], deadline) {
             let error = failed.error;
             return Err(match failed.written {
--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -406,7 +406,7 @@
 }
 
 impl Gossip {
-    /// Knows nobody yet; rounds start once [`Gossip::put_heartbeat`] was called.
+    /// Knows nobody yet; rounds start once [`Gossip::set_own_heartbeat`] was called.
     pub fn new(config: GossipConfig, key: &ClusterKey) -> Self {
         Self {
             encoder: DatagramEncoder::new(key, config.host.clone(), config.incarnation),
@@ -461,7 +461,7 @@
     }
 
     /// Sets the heartbeat of this host; the sequence is filled in here.
-    pub fn put_heartbeat(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
+    pub fn set_own_heartbeat(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
         let tick_ms = tick_floor(now_ms);
         let known = self.store.hosts.get(&self.config.host);
         let sequence = known.map_or(tick_ms, |known| {
@@ -482,7 +482,7 @@
     }
 
     /// Takes over a report that this host measured.
-    pub fn put_report(
+    pub fn apply_local_report(
         &mut self,
         now_ms: Millis,
         report: EndpointReport,
@@ -495,7 +495,7 @@
     ///
     /// Hosts of one region should name the same forward hosts where they can,
     /// since other regions learn each different description in full.
-    pub fn put_summary(&mut self, now_ms: Millis, mut summary: RegionSummary) {
+    pub fn set_own_summary(&mut self, now_ms: Millis, mut summary: RegionSummary) {
         summary.capacity.sort_by(|a, b| a.target.cmp(&b.target));
         summary.hosts.sort_by(|a, b| a.host.cmp(&b.host));
         self.store.apply_summary(now_ms, summary, &mut Vec::new());
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -55,9 +55,9 @@
 const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
 const MAX_HANDSHAKE_BYTES: usize = 512;
 const LENGTH_BYTES: usize = 4;
-const READ_BYTES: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// The kernel rejects a timeout of zero.
-const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why an exchange with another host failed.
 #[derive(Debug, Error)]
@@ -206,13 +206,13 @@
 pub struct Link {
     stream: TcpStream,
     buffer: Vec<u8>,
-    session: ClusterKey,
+    session_key: ClusterKey,
     side: Side,
     peer: PeerIdentity,
     frames_written: u64,
     frames_read: u64,
     /// Number of the latest exchange; the client counts from 1.
-    pub(super) exchange: u64,
+    pub(super) exchange_number: u64,
 }
 
 impl Link {
@@ -225,18 +225,24 @@
     ) -> Result<Self, LinkError> {
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
-        let client_hello = encode(&hello(own))?;
-        write_plain(&stream, &client_hello, deadline)?;
-        let welcome: Welcome = decode(&read_plain(&stream, &mut buffer, deadline)?)?;
+        let client_hello = encode(&new_hello(own))?;
+        write_unauthenticated(&stream, &client_hello, deadline)?;
+        let welcome: Welcome = decode(&read_unauthenticated(&stream, &mut buffer, deadline)?)?;
         check_version(&welcome.hello)?;
         let server_hello = encode(&welcome.hello)?;
         let keys = HandshakeKeys::new(key, &client_hello, &server_hello);
-        if !keys.server.is_valid_tag(&[], &welcome.proof) {
+        if !keys.server_proof_key.is_valid_tag(&[], &welcome.proof) {
             return Err(LinkError::WrongKey);
         }
-        write_plain(&stream, &keys.client.tag(&[]), deadline)?;
+        write_unauthenticated(&stream, &keys.client_proof_key.tag(&[]), deadline)?;
         let peer = welcome.hello.identity;
-        Ok(Self::new(stream, buffer, keys.session, Side::Client, peer))
+        Ok(Self::new(
+            stream,
+            buffer,
+            keys.session_key,
+            Side::Client,
+            peer,
+        ))
     }
 
     /// Proves both sides to each other as the accepting side.
@@ -248,37 +254,43 @@
     ) -> Result<Self, LinkError> {
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
-        let client_hello = read_plain(&stream, &mut buffer, deadline)?;
+        let client_hello = read_unauthenticated(&stream, &mut buffer, deadline)?;
         let client: Hello = decode(&client_hello)?;
         check_version(&client)?;
-        let hello = hello(own);
+        let hello = new_hello(own);
         let keys = HandshakeKeys::new(key, &client_hello, &encode(&hello)?);
-        let proof = keys.server.tag(&[]);
-        write_plain(&stream, &encode(&Welcome { hello, proof })?, deadline)?;
-        let proof = read_plain(&stream, &mut buffer, deadline)?;
-        if !keys.client.is_valid_tag(&[], &proof) {
+        let proof = keys.server_proof_key.tag(&[]);
+        write_unauthenticated(&stream, &encode(&Welcome { hello, proof })?, deadline)?;
+        let proof = read_unauthenticated(&stream, &mut buffer, deadline)?;
+        if !keys.client_proof_key.is_valid_tag(&[], &proof) {
             return Err(LinkError::WrongKey);
         }
         let peer = client.identity;
-        Ok(Self::new(stream, buffer, keys.session, Side::Server, peer))
+        Ok(Self::new(
+            stream,
+            buffer,
+            keys.session_key,
+            Side::Server,
+            peer,
+        ))
     }
 
     fn new(
         stream: TcpStream,
         buffer: Vec<u8>,
-        session: ClusterKey,
+        session_key: ClusterKey,
         side: Side,
         peer: PeerIdentity,
     ) -> Self {
         Self {
             stream,
             buffer,
-            session,
+            session_key,
             side,
             peer,
             frames_written: 0,
             frames_read: 0,
-            exchange: 0,
+            exchange_number: 0,
         }
     }
 
@@ -299,7 +311,7 @@
         bytes: &[u8],
         deadline: Instant,
     ) -> Result<(), WriteError> {
-        self.write_exchange_frame(self.exchange, frame, bytes, deadline)
+        self.write_exchange_frame(self.exchange_number, frame, bytes, deadline)
     }
 
     /// Writes one frame of any exchange.
@@ -331,7 +343,9 @@
         encoded.extend_from_slice(bytes);
         let content = &encoded[LENGTH_BYTES..];
         let number = self.frames_written.to_be_bytes();
-        let tag = self.session.tag(&[self.side.direction(), &number, content]);
+        let tag = self
+            .session_key
+            .tag(&[self.side.direction(), &number, content]);
         encoded.extend_from_slice(&tag);
         let length = encoded.len() - LENGTH_BYTES;
         if length > MAX_FRAME_BYTES {
@@ -347,9 +361,9 @@
     /// Reads one frame of the current exchange.
     pub fn read_frame(&mut self, deadline: Instant) -> Result<Message, LinkError> {
         let (exchange, message) = self.read_exchange_frame(deadline)?;
-        if exchange != self.exchange {
+        if exchange != self.exchange_number {
             return Err(LinkError::WrongExchange {
-                expected: self.exchange,
+                expected: self.exchange_number,
                 found: exchange,
             });
         }
@@ -360,20 +374,20 @@
     pub fn read_exchange_frame(&mut self, deadline: Instant) -> Result<(u64, Message), LinkError> {
         loop {
             if let Some(content) = take_frame(&mut self.buffer, MAX_FRAME_BYTES)? {
-                return self.open_frame(&content);
+                return self.decode_frame(&content);
             }
-            fill(&self.stream, &mut self.buffer, deadline)?;
+            read_more(&self.stream, &mut self.buffer, deadline)?;
         }
     }
 
-    fn open_frame(&mut self, content: &[u8]) -> Result<(u64, Message), LinkError> {
+    fn decode_frame(&mut self, content: &[u8]) -> Result<(u64, Message), LinkError> {
         let (content, tag) = content
             .split_last_chunk::<TAG_BYTES>()
             .ok_or(LinkError::Malformed)?;
         let number = self.frames_read.to_be_bytes();
         let direction = self.side.other().direction();
         if !self
-            .session
+            .session_key
             .is_valid_tag(&[direction, &number, content], tag)
         {
             return Err(LinkError::BadTag);
@@ -406,23 +420,23 @@
 
 /// Keys of one handshake, bound to both hellos.
 struct HandshakeKeys {
-    client: ClusterKey,
-    server: ClusterKey,
-    session: ClusterKey,
+    client_proof_key: ClusterKey,
+    server_proof_key: ClusterKey,
+    session_key: ClusterKey,
 }
 
 impl HandshakeKeys {
     fn new(key: &ClusterKey, client_hello: &[u8], server_hello: &[u8]) -> Self {
         let derive = |purpose| key.derive(purpose, &[client_hello, server_hello]);
         Self {
-            client: derive("cardamombridge link client proof"),
-            server: derive("cardamombridge link server proof"),
-            session: derive("cardamombridge link session"),
+            client_proof_key: derive("cardamombridge link client proof"),
+            server_proof_key: derive("cardamombridge link server proof"),
+            session_key: derive("cardamombridge link session"),
         }
     }
 }
 
-fn hello(own: &PeerIdentity) -> Hello {
+fn new_hello(own: &PeerIdentity) -> Hello {
     Hello {
         version: LINK_VERSION,
         identity: own.clone(),
@@ -456,13 +470,17 @@
     }
 }
 
-fn write_plain(stream: &TcpStream, content: &[u8], deadline: Instant) -> Result<(), LinkError> {
+fn write_unauthenticated(
+    stream: &TcpStream,
+    content: &[u8],
+    deadline: Instant,
+) -> Result<(), LinkError> {
     let mut bytes = (content.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(content);
     write_all(stream, &bytes, deadline).map_err(|failed| failed.error)
 }
 
-fn read_plain(
+fn read_unauthenticated(
     stream: &TcpStream,
     buffer: &mut Vec<u8>,
     deadline: Instant,
@@ -471,7 +489,7 @@
         if let Some(content) = take_frame(buffer, MAX_HANDSHAKE_BYTES)? {
             return Ok(content);
         }
-        fill(stream, buffer, deadline)?;
+        read_more(stream, buffer, deadline)?;
     }
 }
 
@@ -493,10 +511,14 @@
     Ok(Some(frame))
 }
 
-fn fill(mut stream: &TcpStream, buffer: &mut Vec<u8>, deadline: Instant) -> Result<(), LinkError> {
+fn read_more(
+    mut stream: &TcpStream,
+    buffer: &mut Vec<u8>,
+    deadline: Instant,
+) -> Result<(), LinkError> {
     stream.set_read_timeout(Some(remaining(deadline)?))?;
     let old_length = buffer.len();
-    buffer.resize(old_length + READ_BYTES, 0);
+    buffer.resize(old_length + READ_CHUNK_BYTES, 0);
     let result = stream.read(&mut buffer[old_length..]);
     buffer.truncate(old_length + result.as_ref().copied().unwrap_or(0));
     match result {
@@ -533,5 +555,5 @@
     if left.is_zero() {
         return Err(LinkError::TimedOut);
     }
-    Ok(left.max(MIN_TIMEOUT))
+    Ok(left.max(MIN_SOCKET_TIMEOUT))
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -53,7 +53,7 @@
 /// Time for the rest of a request frame once its first byte is there.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often a waiting connection looks at the stop signal.
-const STOP_INTERVAL: Duration = Duration::from_millis(200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Most connections from all hosts.
 const MAX_CONNECTIONS: usize = 1_024;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -83,7 +83,7 @@
     broken_connections: AtomicU64,
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -91,29 +91,29 @@
 #[derive(Debug)]
 pub struct PeerServer {
     key: ClusterKey,
-    own: PeerIdentity,
-    max_per_host: usize,
+    identity: PeerIdentity,
+    max_connections_per_host: usize,
     is_stopping: AtomicBool,
-    by_host: Mutex<HashMap<HostId, usize>>,
+    connections_by_host: Mutex<HashMap<HostId, usize>>,
     counters: Counters,
 }
 
 impl PeerServer {
     /// Not serving yet.
-    pub fn new(key: ClusterKey, own: PeerIdentity) -> Self {
+    pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
-            own,
-            max_per_host: MAX_CONNECTIONS_PER_HOST,
+            identity,
+            max_connections_per_host: MAX_CONNECTIONS_PER_HOST,
             is_stopping: AtomicBool::new(false),
-            by_host: Mutex::new(HashMap::new()),
+            connections_by_host: Mutex::new(HashMap::new()),
             counters: Counters::default(),
         }
     }
 
     /// The same with another limit of connections from one host.
-    pub fn with_max_per_host(mut self, max_per_host: usize) -> Self {
-        self.max_per_host = max_per_host;
+    pub fn with_max_connections_per_host(mut self, max_connections_per_host: usize) -> Self {
+        self.max_connections_per_host = max_connections_per_host;
         self
     }
 
@@ -138,7 +138,7 @@
         let handler = Arc::new(handler);
         while !self.is_stopping.load(Ordering::Acquire) {
             match listener.accept() {
-                Ok((stream, address)) => self.start(stream, address, &handler),
+                Ok((stream, address)) => self.spawn_connection(stream, address, &handler),
                 Err(error) => {
                     tracing::warn!(%error, "could not accept a connection of a host");
                     thread::sleep(ACCEPT_RETRY_DELAY);
@@ -152,18 +152,22 @@
     pub fn stop(&self, address: SocketAddr) {
         self.is_stopping.store(true, Ordering::Release);
         // The blocking accept returns only for a connection.
-        if let Err(error) = TcpStream::connect_timeout(&address, STOP_INTERVAL) {
+        if let Err(error) = TcpStream::connect_timeout(&address, STOP_CHECK_INTERVAL) {
             tracing::debug!(%error, "could not wake the peer acceptor");
         }
     }
 
-    fn start<H>(self: &Arc<Self>, stream: TcpStream, address: SocketAddr, handler: &Arc<H>)
-    where
+    fn spawn_connection<H>(
+        self: &Arc<Self>,
+        stream: TcpStream,
+        address: SocketAddr,
+        handler: &Arc<H>,
+    ) where
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError> + Send + Sync + 'static,
     {
         let open = &self.counters.open_connections;
         if open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
-            count(&self.counters.refused_connections);
+            increment(&self.counters.refused_connections);
             return;
         }
         open.fetch_add(1, Ordering::Relaxed);
@@ -183,20 +187,20 @@
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError>,
     {
         let deadline = Instant::now() + HANDSHAKE_TIMEOUT;
-        let mut link = match Link::accept(stream, &self.key, &self.own, deadline) {
+        let mut link = match Link::accept(stream, &self.key, &self.identity, deadline) {
             Ok(link) => link,
             Err(error) => {
-                count(&self.counters.failed_handshakes);
+                increment(&self.counters.failed_handshakes);
                 tracing::debug!(%error, %address, "handshake with a host failed");
                 return;
             }
         };
         let Some(_slot) = self.take_host_slot(&link.peer().host) else {
-            count(&self.counters.refused_connections);
+            increment(&self.counters.refused_connections);
             return;
         };
         if let Err(error) = self.serve_link(&mut link, handler) {
-            count(&self.counters.broken_connections);
+            increment(&self.counters.broken_connections);
             tracing::debug!(%error, host = %link.peer().host, "connection of a host broke");
         }
     }
@@ -208,7 +212,7 @@
         while let Some(request) = self.next_request(link)? {
             check_origin(&request, link.peer())?;
             let mut exchange = ServerExchange {
-                body_left: request.body_bytes().0,
+                remaining_body_bytes: request.body_bytes().0,
                 link,
                 request,
                 is_ended: false,
@@ -223,8 +227,8 @@
             if !exchange.is_ended {
                 return Err(LinkError::Unexpected("the exchange has no final frame"));
             }
-            count(&self.counters.completed_exchanges);
-            if exchange.body_left > 0 || exchange.is_cancelled {
+            increment(&self.counters.completed_exchanges);
+            if exchange.remaining_body_bytes > 0 || exchange.is_cancelled {
                 return Ok(());
             }
         }
@@ -239,7 +243,7 @@
             if self.is_stopping.load(Ordering::Acquire) {
                 return Ok(None);
             }
-            let wait = Instant::now() + STOP_INTERVAL;
+            let wait = Instant::now() + STOP_CHECK_INTERVAL;
             match link.read_exchange_frame(wait) {
                 Ok((exchange, message)) => {
                     return start_exchange(link, exchange, message).map(Some);
@@ -260,15 +264,17 @@
         }
     }
 
-    fn by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
+    fn connections_by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
         // A panic while the lock was held leaves at worst a wrong count.
-        self.by_host.lock().unwrap_or_else(PoisonError::into_inner)
+        self.connections_by_host
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn take_host_slot(&self, host: &HostId) -> Option<HostSlot<'_>> {
-        let mut by_host = self.by_host();
-        let open = by_host.entry(host.clone()).or_insert(0);
-        if *open >= self.max_per_host {
+        let mut connections_by_host = self.connections_by_host();
+        let open = connections_by_host.entry(host.clone()).or_insert(0);
+        if *open >= self.max_connections_per_host {
             return None;
         }
         *open += 1;
@@ -280,7 +286,7 @@
 }
 
 fn start_exchange(link: &mut Link, exchange: u64, message: Message) -> Result<Frame, LinkError> {
-    let expected = link.exchange + 1;
+    let expected = link.exchange_number + 1;
     if exchange != expected {
         return Err(LinkError::WrongExchange {
             expected,
@@ -299,7 +305,7 @@
             limit_bytes: MAX_BODY_BYTES,
         });
     }
-    link.exchange = exchange;
+    link.exchange_number = exchange;
     Ok(message.frame)
 }
 
@@ -329,11 +335,11 @@
 
 impl Drop for HostSlot<'_> {
     fn drop(&mut self) {
-        let mut by_host = self.server.by_host();
-        if let Some(open) = by_host.get_mut(&self.host) {
+        let mut connections_by_host = self.server.connections_by_host();
+        if let Some(open) = connections_by_host.get_mut(&self.host) {
             *open -= 1;
             if *open == 0 {
-                by_host.remove(&self.host);
+                connections_by_host.remove(&self.host);
             }
         }
     }
@@ -344,7 +350,7 @@
 pub struct ServerExchange<'a> {
     link: &'a mut Link,
     request: Frame,
-    body_left: u64,
+    remaining_body_bytes: u64,
     is_ended: bool,
     is_cancelled: bool,
 }
@@ -363,7 +369,7 @@
     /// Reads the whole body; a request that is refused without it needs no read.
     pub fn read_body(&mut self, deadline: Instant) -> Result<Vec<u8>, LinkError> {
         let mut body = Vec::new();
-        while self.body_left > 0 {
+        while self.remaining_body_bytes > 0 {
             let message = self.link.read_frame(deadline)?;
             match message.frame {
                 Frame::RequestBody => {}
@@ -374,10 +380,10 @@
                 _ => return Err(LinkError::Unexpected("a body frame was expected")),
             }
             let bytes = message.payload.len() as u64;
-            if bytes == 0 || bytes > self.body_left {
+            if bytes == 0 || bytes > self.remaining_body_bytes {
                 return Err(LinkError::Unexpected("the body has another length"));
             }
-            self.body_left -= bytes;
+            self.remaining_body_bytes -= bytes;
             body.extend_from_slice(&message.payload);
         }
         Ok(body)
@@ -388,7 +394,7 @@
     /// Only meaningful once the body has been read.
     pub fn is_cancelled(&mut self) -> bool {
         // After its body the other host sends nothing but a cancellation.
-        if !self.is_cancelled && self.body_left == 0 {
+        if !self.is_cancelled && self.remaining_body_bytes == 0 {
             self.is_cancelled = !self.link.is_idle();
         }
         self.is_cancelled
@@ -404,10 +410,10 @@
         if self.is_ended || frame.is_final() || frame.is_request() {
             return Err(LinkError::Unexpected("the frame is not part of an answer"));
         }
-        self.write_pieces(frame, bytes, deadline)
+        self.write_in_pieces(frame, bytes, deadline)
     }
 
-    fn write_pieces(
+    fn write_in_pieces(
         &mut self,
         frame: &Frame,
         bytes: &[u8],
@@ -437,7 +443,7 @@
         if self.is_ended || !frame.is_final() {
             return Err(LinkError::Unexpected("the frame is not a final one"));
         }
-        self.write_pieces(frame, bytes, deadline)?;
+        self.write_in_pieces(frame, bytes, deadline)?;
         self.is_ended = true;
         Ok(())
     }
--- a/src/peer/simulation.rs
+++ b/src/peer/simulation.rs
@@ -265,7 +265,7 @@
             let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
                 .with_seeds(seeds);
             let mut gossip = Gossip::new(config, &key);
-            gossip.put_heartbeat(START_MS, own.clone());
+            gossip.set_own_heartbeat(START_MS, own.clone());
             gossip
         };
         let endpoint_ids = (0..endpoints).map(|n| id(format!("engine-{n:05}")));
@@ -336,7 +336,7 @@
                 lowest_revision: lowest.min().unwrap_or_default(),
                 hosts: (first..last.min(first + 8)).map(forward).collect(),
             };
-            self.hosts[index].put_summary(self.now_ms, summary);
+            self.hosts[index].set_own_summary(self.now_ms, summary);
         }
     }
 
@@ -365,7 +365,7 @@
         let own = &mut self.heartbeats[index];
         if own.revision < revision {
             own.revision = revision;
-            self.hosts[index].put_heartbeat(self.now_ms, own.clone());
+            self.hosts[index].set_own_heartbeat(self.now_ms, own.clone());
         }
     }
 
@@ -418,7 +418,7 @@
                     cache_permille: self.rng.random_range(0..1_000),
                     is_leaving: false,
                 };
-                self.hosts[host].put_report(self.now_ms, report, &mut Vec::new());
+                self.hosts[host].apply_local_report(self.now_ms, report, &mut Vec::new());
             }
         }
     }
--- a/src/peer/socket.rs
+++ b/src/peer/socket.rs
@@ -59,9 +59,9 @@
 };
 
 /// Datagrams and facts that wait to be sent; the oldest is dropped when full.
-const SEND_RING: usize = 64;
+const SEND_RING_ENTRIES: usize = 64;
 /// Longest wait of either thread before it looks at the stop signal.
-const MAX_WAIT: Duration = Duration::from_millis(100);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A fact that this host is the source of.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -88,7 +88,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Drops {
+struct DropCounters {
     updates: AtomicU64,
     datagrams: AtomicU64,
     failed_sends: AtomicU64,
@@ -124,7 +124,7 @@
     socket: UdpSocket,
     updates: Ring<LocalUpdate>,
     replies: Ring<OutgoingDatagram>,
-    drops: Drops,
+    drops: DropCounters,
     is_stopping: AtomicBool,
 }
 
@@ -160,13 +160,13 @@
     where
         F: Fn(GossipEvent) + Send + Sync + 'static,
     {
-        socket.set_read_timeout(Some(MAX_WAIT))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         let shared = Arc::new(Shared {
             gossip: Mutex::new(Gossip::new(config, key)),
             socket,
-            updates: Ring::new(SEND_RING),
-            replies: Ring::new(SEND_RING),
-            drops: Drops::default(),
+            updates: Ring::new(SEND_RING_ENTRIES),
+            replies: Ring::new(SEND_RING_ENTRIES),
+            drops: DropCounters::default(),
             is_stopping: AtomicBool::new(false),
         });
         let on_event = Arc::new(on_event);
@@ -238,7 +238,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     while !shared.is_stopping() {
         match shared.socket.recv_from(&mut buffer) {
-            Ok((length, from)) => take_datagram(shared, from, &buffer[..length], on_event),
+            Ok((length, from)) => handle_datagram(shared, from, &buffer[..length], on_event),
             Err(error) if is_timeout(&error) => {}
             Err(error) => {
                 // An ICMP error for an earlier datagram also surfaces here.
@@ -255,7 +255,7 @@
     )
 }
 
-fn take_datagram<F>(shared: &Shared, from: SocketAddr, bytes: &[u8], on_event: &F)
+fn handle_datagram<F>(shared: &Shared, from: SocketAddr, bytes: &[u8], on_event: &F)
 where
     F: Fn(GossipEvent),
 {
@@ -302,7 +302,7 @@
 {
     let next_ms = shared.gossip().next_round_ms();
     let wait_ms = (next_ms - clock::now()).0;
-    let timeout = Duration::from_millis(wait_ms).min(MAX_WAIT);
+    let timeout = Duration::from_millis(wait_ms).min(STOP_CHECK_INTERVAL);
     let received = crossbeam::channel::select! {
         recv(shared.replies.receiver) -> reply => reply.map(|reply| send(shared, &reply)).ok(),
         recv(shared.updates.receiver) -> update => update.map(|update| apply_update(shared, update, on_event)).ok(),
@@ -330,9 +330,9 @@
     {
         let mut gossip = shared.gossip();
         match update {
-            LocalUpdate::Heartbeat(heartbeat) => gossip.put_heartbeat(now_ms, heartbeat),
-            LocalUpdate::Report(report) => gossip.put_report(now_ms, report, &mut events),
-            LocalUpdate::Summary(summary) => gossip.put_summary(now_ms, summary),
+            LocalUpdate::Heartbeat(heartbeat) => gossip.set_own_heartbeat(now_ms, heartbeat),
+            LocalUpdate::Report(report) => gossip.apply_local_report(now_ms, report, &mut events),
+            LocalUpdate::Summary(summary) => gossip.set_own_summary(now_ms, summary),
             LocalUpdate::Seeds(addresses) => gossip.add_seeds(&addresses),
         }
     }
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -121,7 +121,7 @@
             let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
                 .with_seeds(seeds.clone());
             let mut gossip = Gossip::new(config, &key);
-            gossip.put_heartbeat(START_MS, own.clone());
+            gossip.set_own_heartbeat(START_MS, own.clone());
             Node {
                 gossip,
                 heartbeat: own,
@@ -228,7 +228,7 @@
         let node = &mut self.nodes[index];
         node.heartbeat.revision = Revision(revision);
         node.gossip
-            .put_heartbeat(self.now_ms, node.heartbeat.clone());
+            .set_own_heartbeat(self.now_ms, node.heartbeat.clone());
     }
 
     /// Puts a summary of the region's hosts at each of its hosts, as the
@@ -250,7 +250,7 @@
                 lowest_revision: own.map(|h| h.revision).min().unwrap_or_default(),
                 hosts: hosts.take(8).collect(),
             };
-            node.gossip.put_summary(now_ms, summary);
+            node.gossip.set_own_summary(now_ms, summary);
         }
     }
 
@@ -305,14 +305,14 @@
             let load = report(&format!("engine-{n:03}"), net.now_ms);
             net.nodes[n % 66]
                 .gossip
-                .put_report(net.now_ms, load, &mut Vec::new());
+                .apply_local_report(net.now_ms, load, &mut Vec::new());
         }
         net.run(15_000);
         let mut leaving = report("engine-007", net.now_ms);
         leaving.is_leaving = true;
         net.nodes[7]
             .gossip
-            .put_report(net.now_ms, leaving, &mut Vec::new());
+            .apply_local_report(net.now_ms, leaving, &mut Vec::new());
 
         let took_ms = net.run_until(5_000, |net| net.all_know_leaving(&endpoint));
 
@@ -333,7 +333,7 @@
     let mut events = Vec::new();
 
     for report in [leaving, late_view, next_run] {
-        gossip.put_report(START_MS, report, &mut events);
+        gossip.apply_local_report(START_MS, report, &mut events);
     }
 
     let is_leaving: Vec<bool> = events
@@ -375,7 +375,7 @@
     let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
         .with_seeds(vec![address(0)]);
     let mut gossip = Gossip::new(config, &ClusterKey::new(b"test"));
-    gossip.put_heartbeat(net.now_ms, own.clone());
+    gossip.set_own_heartbeat(net.now_ms, own.clone());
     net.nodes[2].gossip = gossip;
 
     let took_ms = net.run_until(5_000, |net| {
@@ -426,7 +426,7 @@
         incarnation: Incarnation(0),
         ..own
     };
-    gossip.put_heartbeat(net.now_ms, own.clone());
+    gossip.set_own_heartbeat(net.now_ms, own.clone());
     net.nodes[delegate].gossip = gossip;
     net.run(30_000);
     let before = net.nodes[delegate].gossip.counts();
--- a/tests/peer_link.rs
+++ b/tests/peer_link.rs
@@ -447,7 +447,7 @@
 
 #[test]
 fn connections_per_host_are_limited_on_both_sides() {
-    let fixture = Fixture::start(server().with_max_per_host(1), echo_length);
+    let fixture = Fixture::start(server().with_max_connections_per_host(1), echo_length);
     let client = client().with_max_connections(1);
     // The client ends the handshake before the server counts the connection; a
     // whole exchange on it is sure to come after that.
