--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -46,7 +46,7 @@
     /// Priority; 0 is the most urgent.
     pub priority: Option<u8>,
     /// Regions that may serve the request; any region if empty.
-    pub homes: Vec<CompactString>,
+    pub home_regions: Vec<CompactString>,
 }
 
 impl ResolvedRoute {
@@ -62,7 +62,7 @@
             timeout_ms: route.timeout_ms,
             max_attempts: route.max_attempts,
             priority: route.priority,
-            homes: route.home_regions.clone(),
+            home_regions: route.home_regions.clone(),
         }
     }
 
@@ -94,7 +94,7 @@
 
     /// Returns whether a region may serve the request.
     pub fn allows_region(&self, region: &str) -> bool {
-        self.homes.is_empty() || self.homes.iter().any(|home| home == region)
+        self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 }
 
@@ -160,11 +160,11 @@
 pub struct RefusalRecord {
     /// Predicted time to the first event in this region, including the queue;
     /// none if no endpoint was usable.
-    pub here_ms: Option<u64>,
+    pub local_ms: Option<u64>,
     /// Part of the predicted time spent on requests already queued here.
     pub queue_ms: u64,
     /// Predicted time to the first event in the best other region, if any.
-    pub away_ms: Option<u64>,
+    pub remote_ms: Option<u64>,
     /// Time after which the caller may retry.
     pub retry_ms: u64,
 }
--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -224,7 +224,7 @@
         self.beacon_sequence += 1;
         let update = LoadUpdate {
             host: self.settings.host.name.clone(),
-            started_ms: self.run_started_ms,
+            started_ms: self.instance_started_ms,
             sequence: self.beacon_sequence,
             shares,
             sends: changes.sends,
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -130,7 +130,7 @@
     pub(super) random: Pcg64Mcg,
     pub(super) round_trip_ms: BTreeMap<CompactString, f64>,
     pub(super) started: Instant,
-    pub(super) run_started_ms: u64,
+    pub(super) instance_started_ms: u64,
     pub(super) beacon_sequence: u64,
     pub(super) next_beacon_ms: u64,
     pub(super) next_remote_beacon_ms: u64,
@@ -148,8 +148,8 @@
     pub(super) store_recovered_ms: Option<u64>,
     pub(super) next_resync_ms: u64,
     /// Loads of other hosts have arrived since the last update of the peer loads.
-    pub(super) has_new_shares: bool,
-    pub(super) next_share_update_ms: u64,
+    pub(super) has_new_peer_loads: bool,
+    pub(super) next_peer_load_update_ms: u64,
     pub(super) pending_update: PendingUpdate,
     /// Number of live hosts in the region, for the thread that follows the store.
     host_count: Arc<AtomicU64>,
@@ -195,11 +195,11 @@
             settings.regions.clone(),
             settings.cold,
         );
-        let run_started_ms = std::time::SystemTime::now()
+        let instance_started_ms = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let seed = xxhash_rust::xxh3::xxh3_64(settings.host.name.as_bytes()) ^ run_started_ms;
+        let seed = xxhash_rust::xxh3::xxh3_64(settings.host.name.as_bytes()) ^ instance_started_ms;
         Ok(Self {
             poll,
             listeners,
@@ -220,7 +220,7 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             round_trip_ms: BTreeMap::new(),
             started: Instant::now(),
-            run_started_ms,
+            instance_started_ms,
             beacon_sequence: 0,
             next_beacon_ms: 0,
             next_remote_beacon_ms: 0,
@@ -233,8 +233,8 @@
             lag_since: None,
             store_recovered_ms: None,
             next_resync_ms: 0,
-            has_new_shares: false,
-            next_share_update_ms: 0,
+            has_new_peer_loads: false,
+            next_peer_load_update_ms: 0,
             pending_update: PendingUpdate::default(),
             host_count: Arc::new(AtomicU64::new(1)),
             next_sweep_ms: 0,
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -85,25 +85,25 @@
     /// Decides where a request goes and sends, queues or refuses it.
     pub(super) fn place_exchange(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(situation) = self.situation(key, now_ms) else {
+        let Some(context) = self.placement_context(key, now_ms) else {
             return;
         };
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
         let inputs = RefusalRecord {
-            here_ms: situation
+            local_ms: context
                 .local
                 .as_ref()
-                .map(|choice| (choice.first_event_ms + situation.queue_ms) as u64),
-            queue_ms: situation.queue_ms as u64,
-            away_ms: situation
+                .map(|choice| (choice.first_event_ms + context.queue_ms) as u64),
+            queue_ms: context.queue_ms as u64,
+            remote_ms: context
                 .remote
                 .as_ref()
                 .map(|offer| offer.first_event_ms as u64),
             retry_ms: 0,
         };
-        match place(situation) {
+        match place(context) {
             Placement::Send(choice) => self.send_to_endpoint(key, choice),
             Placement::Forward(offer) => self.send_to_region(key, offer),
             Placement::Wait => {
@@ -119,7 +119,11 @@
         }
     }
 
-    pub(super) fn situation(&mut self, key: usize, now_ms: u64) -> Option<PlacementContext> {
+    pub(super) fn placement_context(
+        &mut self,
+        key: usize,
+        now_ms: u64,
+    ) -> Option<PlacementContext> {
         let exchange = self.exchanges.get(key)?;
         let route = &exchange.route;
         let service = self.service(&route.service);
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -252,7 +252,7 @@
         self.beacon_sequence += 1;
         Beacon {
             host: self.settings.host.clone(),
-            started_ms: self.run_started_ms,
+            started_ms: self.instance_started_ms,
             sequence: self.beacon_sequence,
             revision: self.known_revision(),
             is_leaving: self.shutdown_started_ms.is_some(),
@@ -338,14 +338,14 @@
 
     /// Takes over what the other hosts of the region have at the endpoints.
     pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
-        if now_ms < self.next_share_update_ms {
+        if now_ms < self.next_peer_load_update_ms {
             return;
         }
-        let interval_ms = match std::mem::take(&mut self.has_new_shares) {
+        let interval_ms = match std::mem::take(&mut self.has_new_peer_loads) {
             true => SHARE_UPDATE_MS,
             false => IDLE_SHARE_UPDATE_MS,
         };
-        self.next_share_update_ms = now_ms + interval_ms;
+        self.next_peer_load_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
         let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
@@ -376,6 +376,6 @@
                 }
             }
         }
-        self.has_new_shares |= is_changed;
+        self.has_new_peer_loads |= is_changed;
     }
 }
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -212,9 +212,9 @@
             first_event_ms = exchange
                 .first_event_at_ms
                 .map(|at_ms| at_ms.saturating_sub(exchange.arrived_ms)),
-            here_ms = exchange.refusal.and_then(|refusal| refusal.here_ms),
+            here_ms = exchange.refusal.and_then(|refusal| refusal.local_ms),
             queue_ms = exchange.refusal.map(|refusal| refusal.queue_ms),
-            away_ms = exchange.refusal.and_then(|refusal| refusal.away_ms),
+            away_ms = exchange.refusal.and_then(|refusal| refusal.remote_ms),
             retry_ms = exchange.refusal.map(|refusal| refusal.retry_ms),
             total_ms,
             outcome,
