--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -190,7 +190,7 @@
 
 /// A connection from a caller or another host.
 #[derive(Debug)]
-pub struct Client {
+pub struct InboundConnection {
     /// Socket and buffers.
     pub socket: BufferedSocket,
     /// Kind of requests on it.
@@ -209,7 +209,7 @@
     pub request_started_ms: Option<u64>,
 }
 
-impl Client {
+impl InboundConnection {
     /// Returns an accepted connection without a request.
     pub fn new(stream: TcpStream, role: Role, now_ms: u64) -> Self {
         Self {
@@ -254,7 +254,7 @@
 
 /// A connection to an endpoint, or to a host of another region.
 #[derive(Debug)]
-pub struct Upstream {
+pub struct UpstreamConnection {
     /// Socket and buffers.
     pub socket: BufferedSocket,
     /// Remote address.
@@ -281,7 +281,7 @@
     pub had_stale_response: bool,
 }
 
-impl Upstream {
+impl UpstreamConnection {
     /// Returns a connection whose handshake is in progress.
     pub fn new(stream: TcpStream, address: SocketAddr, now_ms: u64) -> Self {
         Self {
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -175,7 +175,7 @@
     /// Serial number, unique within the process.
     pub serial: u64,
     /// Key of the caller's connection; none once the caller has disconnected.
-    pub client: Option<usize>,
+    pub inbound: Option<usize>,
     /// The request was forwarded by a host of another region.
     pub is_forwarded: bool,
     /// The request, shared so that it can be read while the exchange is modified.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -25,7 +25,7 @@
 pub mod request;
 pub mod response;
 pub mod retry_budget;
-mod serve_client;
+mod serve_caller;
 mod serve_completion;
 mod serve_dispatch;
 mod serve_placement;
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -57,9 +57,9 @@
 use super::{
     configuration::Configuration,
     connection::{
-        Client,
+        InboundConnection,
         Role,
-        Upstream,
+        UpstreamConnection,
         UpstreamPhase, //
     },
     exchange::Exchange,
@@ -112,8 +112,8 @@
     listeners: Vec<(TcpListener, Role)>,
     pub(super) beacon_socket: UdpSocket,
     updates: Receiver<Update>,
-    pub(super) clients: Slab<Client>,
-    pub(super) upstreams: Slab<Upstream>,
+    pub(super) inbound: Slab<InboundConnection>,
+    pub(super) upstreams: Slab<UpstreamConnection>,
     pub(super) exchanges: Slab<Exchange>,
     /// Keys of idle upstream connections by address, the most recently used last.
     pub(super) idle: HashMap<SocketAddr, Vec<usize>>,
@@ -205,7 +205,7 @@
             listeners,
             beacon_socket,
             updates,
-            clients: Slab::new(),
+            inbound: Slab::new(),
             upstreams: Slab::new(),
             exchanges: Slab::new(),
             idle: HashMap::new(),
@@ -310,7 +310,7 @@
             Token(index) => {
                 let key = (index - FIRST_CONNECTION) / 2;
                 if (index - FIRST_CONNECTION).is_multiple_of(2) {
-                    self.client_event(key, event);
+                    self.inbound_event(key, event);
                 } else {
                     self.upstream_event(key, event);
                 }
@@ -325,7 +325,7 @@
             };
             let role = *role;
             match listener.accept() {
-                Ok((stream, _)) => self.add_client(stream, role),
+                Ok((stream, _)) => self.add_inbound(stream, role),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
@@ -336,12 +336,14 @@
         }
     }
 
-    fn add_client(&mut self, stream: TcpStream, role: Role) {
+    fn add_inbound(&mut self, stream: TcpStream, role: Role) {
         let now_ms = self.now_ms();
-        let key = self.clients.insert(Client::new(stream, role, now_ms));
+        let key = self
+            .inbound
+            .insert(InboundConnection::new(stream, role, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2);
-        if !register(&self.poll, &mut self.clients[key].socket.stream, token) {
-            self.clients.remove(key);
+        if !register(&self.poll, &mut self.inbound[key].socket.stream, token) {
+            self.inbound.remove(key);
         }
     }
 
@@ -357,7 +359,7 @@
         };
         let key = self
             .upstreams
-            .insert(Upstream::new(stream, address, now_ms));
+            .insert(UpstreamConnection::new(stream, address, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2 + 1);
         if !register(&self.poll, &mut self.upstreams[key].socket.stream, token) {
             self.upstreams.remove(key);
@@ -388,7 +390,7 @@
 
     /// Closes connections that have been idle for too long.
     fn sweep(&mut self, now_ms: u64) {
-        self.sweep_clients(now_ms);
+        self.sweep_inbound(now_ms);
         self.fleet.drop_withdrawn(now_ms);
         let stale: Vec<usize> = self
             .upstreams
--- a/src/gateway/serve_client.rs
+++ b/src/gateway/serve_caller.rs
@@ -6,7 +6,7 @@
     body::BodyDecoder,
     configuration::CallerLimits,
     connection::{
-        Client,
+        InboundConnection,
         ReadState,
         RequestProgress,
         Role, //
@@ -24,12 +24,12 @@
         CHANGES_PATH,
         encode_changes, //
     },
-    reactor::Reactor, //
+    reactor::Reactor,
     response::{
         FORWARD_HEADER,
         GatewayResponse,
         write_gateway_response, //
-    },
+    }, //
 };
 use crate::platform::headers::{
     DIRECTORY_PATH,
@@ -49,38 +49,38 @@
 const LEAVING_RETRY_MS: u64 = 50;
 /// Pending output to a caller beyond which reading from the endpoint is paused.
 pub const MAX_OUTPUT_BYTES: usize = 512 * 1024;
-/// Maximum buffered input of a client while a request is in progress.
+/// Maximum buffered input of a connection while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 256 * 1024;
 
 impl Reactor {
-    pub(super) fn client_event(&mut self, key: usize, event: &Event) {
+    pub(super) fn inbound_event(&mut self, key: usize, event: &Event) {
         if event.is_readable() || event.is_read_closed() || event.is_error() {
-            self.read_client(key);
+            self.read_inbound(key);
         }
         if event.is_writable() {
-            self.flush_client(key);
+            self.flush_inbound(key);
         }
     }
 
-    fn read_client(&mut self, key: usize) {
+    fn read_inbound(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        let read_state = client.socket.fill();
-        if !client.socket.input.is_empty() {
-            client.last_active_ms = now_ms;
+        let read_state = inbound.socket.fill();
+        if !inbound.socket.input.is_empty() {
+            inbound.last_active_ms = now_ms;
         }
         match read_state {
-            ReadState::Broken => return self.drop_client(key),
-            ReadState::Closed => client.is_read_closed = true,
+            ReadState::Broken => return self.abort_inbound(key),
+            ReadState::Closed => inbound.is_read_closed = true,
             ReadState::Open => {}
         }
-        if client.exchange.is_some() {
+        if inbound.exchange.is_some() {
             let is_abandoned =
-                client.is_read_closed || client.socket.input.len() > MAX_PIPELINED_BYTES;
+                inbound.is_read_closed || inbound.socket.input.len() > MAX_PIPELINED_BYTES;
             if is_abandoned {
-                self.drop_client(key);
+                self.abort_inbound(key);
             }
             return;
         }
@@ -92,21 +92,21 @@
         let now_ms = self.now_ms();
         let limits = self.limits();
         loop {
-            let Some(client) = self.clients.get_mut(key) else {
+            let Some(inbound) = self.inbound.get_mut(key) else {
                 return;
             };
-            if client.exchange.is_some() || client.is_closing {
+            if inbound.exchange.is_some() || inbound.is_closing {
                 return;
             }
-            if !client.socket.input.is_empty() && client.request_started_ms.is_none() {
-                client.request_started_ms = Some(now_ms);
+            if !inbound.socket.input.is_empty() && inbound.request_started_ms.is_none() {
+                inbound.request_started_ms = Some(now_ms);
             }
-            match read_request(client, &limits) {
+            match read_request(inbound, &limits) {
                 Ok(Some((head, body))) => self.handle_request(key, head, body),
-                Ok(None) if client.is_read_closed => return self.drop_client(key),
+                Ok(None) if inbound.is_read_closed => return self.abort_inbound(key),
                 Ok(None) => {
-                    if client.socket.unwritten() > 0 {
-                        self.flush_client(key);
+                    if inbound.socket.unwritten() > 0 {
+                        self.flush_inbound(key);
                     }
                     return;
                 }
@@ -125,14 +125,14 @@
     }
 
     fn handle_request(&mut self, key: usize, head: RequestHead, body: Vec<u8>) {
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.request_started_ms = None;
-        if !head.is_keep_alive || client.is_read_closed {
-            client.is_closing = true;
+        inbound.request_started_ms = None;
+        if !head.is_keep_alive || inbound.is_read_closed {
+            inbound.is_closing = true;
         }
-        match client.role {
+        match inbound.role {
             Role::Caller => self.route_request(key, head, body, None),
             Role::Peer if head.path() == CHANGES_PATH => self.handle_changes(key, head.query()),
             Role::Peer => match head.header(FORWARD_HEADER).and_then(ResolvedRoute::decode) {
@@ -279,8 +279,8 @@
     }
 
     fn respond_and_close(&mut self, key: usize, response: GatewayResponse) {
-        if let Some(client) = self.clients.get_mut(key) {
-            client.is_closing = true;
+        if let Some(inbound) = self.inbound.get_mut(key) {
+            inbound.is_closing = true;
         }
         self.respond(key, response);
     }
@@ -293,86 +293,86 @@
         body: &[u8],
     ) {
         let is_leaving = self.shutdown_started_ms.is_some();
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.is_closing |= is_leaving;
-        let is_closing = client.is_closing;
+        inbound.is_closing |= is_leaving;
+        let is_closing = inbound.is_closing;
         write_gateway_response(
             response,
             content_type,
             body,
             is_closing,
-            client.socket.output(),
+            inbound.socket.output(),
         );
-        self.flush_client(key);
+        self.flush_inbound(key);
     }
 
     /// Writes pending output; closes the connection if it is broken or finished.
-    pub(super) fn flush_client(&mut self, key: usize) {
-        let Some(client) = self.clients.get_mut(key) else {
+    pub(super) fn flush_inbound(&mut self, key: usize) {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        if !client.socket.flush() {
-            return self.drop_client(key);
+        if !inbound.socket.flush() {
+            return self.abort_inbound(key);
         }
-        let is_written = client.socket.unwritten() == 0;
-        if client.is_closing && is_written && client.exchange.is_none() {
-            return self.close_client(key);
+        let is_written = inbound.socket.unwritten() == 0;
+        if inbound.is_closing && is_written && inbound.exchange.is_none() {
+            return self.close_inbound(key);
         }
-        let exchange = client.exchange;
-        if client.socket.unwritten() < MAX_OUTPUT_BYTES / 2 {
+        let exchange = inbound.exchange;
+        if inbound.socket.unwritten() < MAX_OUTPUT_BYTES / 2 {
             self.resume_reading(exchange);
         }
     }
 
     /// Continues with the next request after the exchange on a connection has ended.
-    pub(super) fn client_done(&mut self, key: usize) {
+    pub(super) fn finish_inbound_request(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.exchange = None;
-        client.last_active_ms = now_ms;
-        self.flush_client(key);
-        if let Some(client) = self.clients.get_mut(key)
-            && !client.is_closing
+        inbound.exchange = None;
+        inbound.last_active_ms = now_ms;
+        self.flush_inbound(key);
+        if let Some(inbound) = self.inbound.get_mut(key)
+            && !inbound.is_closing
         {
-            client.socket.shrink();
+            inbound.socket.shrink();
             self.read_requests(key);
         }
     }
 
-    /// Closes a client connection without affecting its exchange.
-    pub(super) fn close_client(&mut self, key: usize) {
-        let Some(mut client) = self.clients.try_remove(key) else {
+    /// Closes an inbound connection without affecting its exchange.
+    pub(super) fn close_inbound(&mut self, key: usize) {
+        let Some(mut inbound) = self.inbound.try_remove(key) else {
             return;
         };
         // Closing the socket deregisters it in any case.
-        let _ = self.poll.registry().deregister(&mut client.socket.stream);
+        let _ = self.poll.registry().deregister(&mut inbound.socket.stream);
     }
 
     /// Closes a connection that failed or whose caller disconnected, and ends its
     /// exchange.
-    pub(super) fn drop_client(&mut self, key: usize) {
-        let exchange = self.clients.get(key).and_then(|client| client.exchange);
-        self.close_client(key);
+    pub(super) fn abort_inbound(&mut self, key: usize) {
+        let exchange = self.inbound.get(key).and_then(|inbound| inbound.exchange);
+        self.close_inbound(key);
         if let Some(exchange) = exchange {
             self.caller_disconnected(exchange);
         }
     }
 
-    pub(super) fn sweep_clients(&mut self, now_ms: u64) {
+    pub(super) fn sweep_inbound(&mut self, now_ms: u64) {
         let limits = self.limits();
         let mut late = Vec::new();
         let mut idle = Vec::new();
-        for (key, client) in &self.clients {
-            if client.exchange.is_some() {
+        for (key, inbound) in &self.inbound {
+            if inbound.exchange.is_some() {
                 continue;
             }
-            match client.request_started_ms {
+            match inbound.request_started_ms {
                 Some(started_ms) => {
-                    let limit_ms = match client.request_progress {
+                    let limit_ms = match inbound.request_progress {
                         RequestProgress::Head => limits.head_timeout_ms,
                         RequestProgress::Body { .. } => limits.idle_timeout_ms,
                     };
@@ -380,12 +380,12 @@
                         late.push(key);
                     }
                 }
-                None if now_ms >= client.last_active_ms + limits.idle_timeout_ms => idle.push(key),
+                None if now_ms >= inbound.last_active_ms + limits.idle_timeout_ms => idle.push(key),
                 None => {}
             }
         }
         for key in idle {
-            self.close_client(key);
+            self.close_inbound(key);
         }
         for key in late {
             tracing::info!("request timed out before it was received completely");
@@ -400,20 +400,20 @@
 ///
 /// Fails with the status code of the response.
 fn read_request(
-    client: &mut Client,
+    inbound: &mut InboundConnection,
     limits: &CallerLimits,
 ) -> Result<Option<(RequestHead, Vec<u8>)>, u16> {
-    if let RequestProgress::Head = client.request_progress {
-        let parsed = parse_request(&client.socket.input, limits.max_head_bytes);
+    if let RequestProgress::Head = inbound.request_progress {
+        let parsed = parse_request(&inbound.socket.input, limits.max_head_bytes);
         let Some((head, length)) = parsed.map_err(status_of)? else {
             return Ok(None);
         };
-        client.socket.input.drain(..length);
+        inbound.socket.input.drain(..length);
         let decoder = BodyDecoder::new(head.framing);
-        if head.expects_continue && !decoder.is_done() && client.socket.input.is_empty() {
-            client.socket.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
+        if head.expects_continue && !decoder.is_done() && inbound.socket.input.is_empty() {
+            inbound.socket.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        client.request_progress = RequestProgress::Body {
+        inbound.request_progress = RequestProgress::Body {
             head: Box::new(head),
             decoder,
             content: Vec::new(),
@@ -421,7 +421,7 @@
     }
     let RequestProgress::Body {
         decoder, content, ..
-    } = &mut client.request_progress
+    } = &mut inbound.request_progress
     else {
         return Ok(None);
     };
@@ -431,16 +431,16 @@
         return Err(413);
     }
     let used = decoder
-        .decode(&client.socket.input, content)
+        .decode(&inbound.socket.input, content)
         .map_err(|_| 400_u16)?;
-    client.socket.input.drain(..used);
+    inbound.socket.input.drain(..used);
     if content.len() > limits.max_body_bytes {
         return Err(413);
     }
     if !decoder.is_done() {
         return Ok(None);
     }
-    match std::mem::replace(&mut client.request_progress, RequestProgress::Head) {
+    match std::mem::replace(&mut inbound.request_progress, RequestProgress::Head) {
         RequestProgress::Body { head, content, .. } => Ok(Some((*head, content))),
         RequestProgress::Head => Ok(None),
     }
--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -101,7 +101,7 @@
             return false;
         };
         let is_retryable = exchange.route.is_retryable()
-            && exchange.client.is_some()
+            && exchange.inbound.is_some()
             && exchange.run_count < exchange.route.max_attempts
             && now_ms < exchange.deadline_ms;
         if !is_retryable {
@@ -181,18 +181,18 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        if let Some(client) = exchange
-            .client
-            .and_then(|client| self.clients.get_mut(client))
+        if let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
         {
-            client.is_closing |= is_leaving;
-            let is_closing = client.is_closing;
+            inbound.is_closing |= is_leaving;
+            let is_closing = inbound.is_closing;
             write_gateway_response(
                 response,
                 "text/plain",
                 b"",
                 is_closing,
-                client.socket.output(),
+                inbound.socket.output(),
             );
         }
         self.end_exchange(key, cause, response.status);
@@ -204,14 +204,14 @@
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let client = exchange.client.take();
+        let inbound = exchange.inbound.take();
         self.end_exchange(key, cause, 0);
-        if let Some(client) = client {
-            if let Some(connection) = self.clients.get_mut(client) {
+        if let Some(inbound) = inbound {
+            if let Some(connection) = self.inbound.get_mut(inbound) {
                 connection.exchange = None;
                 connection.socket.flush();
             }
-            self.close_client(client);
+            self.close_inbound(inbound);
         }
     }
 
@@ -224,8 +224,8 @@
         let total_ms = now_ms.saturating_sub(exchange.arrived_ms);
         self.telemetry
             .request_ended(&exchange, outcome, status, total_ms, now_ms);
-        if let Some(client) = exchange.client {
-            self.client_done(client);
+        if let Some(inbound) = exchange.inbound {
+            self.finish_inbound_request(inbound);
         }
     }
 
@@ -235,7 +235,7 @@
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        exchange.client = None;
+        exchange.inbound = None;
         let dispatch = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
         if exchange.route.runs_without_caller() && dispatch.is_some() {
             return;
@@ -324,7 +324,7 @@
         return false;
     };
     let is_retryable = exchange.route.is_retryable()
-        && exchange.client.is_some()
+        && exchange.inbound.is_some()
         && exchange.run_count + 1 < exchange.route.max_attempts;
     let limit_ms = match &dispatch.destination {
         Destination::Region { .. } => REMOTE_STALL_MS,
--- a/src/gateway/serve_dispatch.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -15,8 +15,8 @@
     },
     exchange::{
         Destination,
-        Dispatch, //
-        PlacementRecord,
+        Dispatch,
+        PlacementRecord, //
     },
     fleet::Choice,
     head::Framing,
@@ -25,8 +25,8 @@
         FORWARD_HEADER,
         write_request_start, //
     },
-    serve_completion::UNREACHABLE_RETRY_MS, //
-    serve_upstream::UpstreamError,
+    serve_completion::UNREACHABLE_RETRY_MS,
+    serve_upstream::UpstreamError, //
 };
 use crate::platform::headers::{
     EndpointHeaders,
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -19,8 +19,8 @@
     exchange::{
         CallerRequest,
         Exchange,
-        RefusalRecord, //
-        ResolvedRoute,
+        RefusalRecord,
+        ResolvedRoute, //
     },
     fleet::Demand,
     hosts::HostInfo,
@@ -39,7 +39,7 @@
 impl Reactor {
     pub(super) fn start_exchange(
         &mut self,
-        client: usize,
+        inbound: usize,
         request: CallerRequest,
         route: ResolvedRoute,
         configuration_version: u64,
@@ -54,7 +54,7 @@
         self.next_serial += 1;
         let exchange = Exchange {
             serial: self.next_serial,
-            client: Some(client),
+            inbound: Some(inbound),
             is_forwarded,
             request: Rc::new(request),
             configuration_version,
@@ -76,8 +76,8 @@
             buffered: Vec::new(),
         };
         let key = self.exchanges.insert(exchange);
-        if let Some(client) = self.clients.get_mut(client) {
-            client.exchange = Some(key);
+        if let Some(inbound) = self.inbound.get_mut(inbound) {
+            inbound.exchange = Some(key);
         }
         self.place_exchange(key);
     }
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -152,26 +152,34 @@
             return;
         }
         exchange.has_response_begun = true;
-        let Some(client) = exchange
-            .client
-            .and_then(|client| self.clients.get_mut(client))
+        let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
         else {
             return;
         };
-        client.is_closing |= is_leaving;
-        let is_closing = client.is_closing;
-        write_response_head(head, BodyFrame::Chunked, is_closing, client.socket.output());
+        inbound.is_closing |= is_leaving;
+        let is_closing = inbound.is_closing;
+        write_response_head(
+            head,
+            BodyFrame::Chunked,
+            is_closing,
+            inbound.socket.output(),
+        );
     }
 
     pub(super) fn write_body_chunk(&mut self, key: usize, content: &[u8]) {
-        let client = self.exchanges.get(key).and_then(|exchange| exchange.client);
-        let Some(client_key) = client else {
+        let inbound = self
+            .exchanges
+            .get(key)
+            .and_then(|exchange| exchange.inbound);
+        let Some(inbound_key) = inbound else {
             return;
         };
-        if let Some(client) = self.clients.get_mut(client_key) {
-            write_chunk(content, client.socket.output());
+        if let Some(inbound) = self.inbound.get_mut(inbound_key) {
+            write_chunk(content, inbound.socket.output());
         }
-        self.flush_client(client_key);
+        self.flush_inbound(inbound_key);
     }
 
     /// Handles the end of a complete response.
@@ -257,19 +265,19 @@
         };
         let buffered = std::mem::take(&mut exchange.buffered);
         let has_begun = exchange.has_response_begun;
-        if let Some(client) = exchange
-            .client
-            .and_then(|client| self.clients.get_mut(client))
+        if let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
         {
-            client.is_closing |= is_leaving;
+            inbound.is_closing |= is_leaving;
             if has_begun {
-                write_chunk(&buffered, client.socket.output());
-                write_last_chunk(client.socket.output());
+                write_chunk(&buffered, inbound.socket.output());
+                write_last_chunk(inbound.socket.output());
             } else {
-                let is_closing = client.is_closing;
+                let is_closing = inbound.is_closing;
                 let frame = BodyFrame::Length(buffered.len() as u64);
-                write_response_head(head, frame, is_closing, client.socket.output());
-                client.socket.queue(&buffered);
+                write_response_head(head, frame, is_closing, inbound.socket.output());
+                inbound.socket.queue(&buffered);
             }
         }
         self.end_exchange(key, "answered", head.status);
--- a/src/gateway/serve_upstream.rs
+++ b/src/gateway/serve_upstream.rs
@@ -14,7 +14,7 @@
         parse_response, //
     },
     reactor::Reactor,
-    serve_client::MAX_OUTPUT_BYTES, //
+    serve_caller::MAX_OUTPUT_BYTES, //
 };
 use crate::platform::headers::{
     ResponseMetadata,
@@ -116,13 +116,13 @@
         if upstream.phase == UpstreamPhase::Connecting {
             return;
         }
-        let client = upstream
+        let inbound = upstream
             .exchange
             .and_then(|exchange| self.exchanges.get(exchange))
-            .and_then(|exchange| exchange.client);
-        let is_full = client
-            .and_then(|client| self.clients.get(client))
-            .is_some_and(|client| client.socket.unwritten() > MAX_OUTPUT_BYTES);
+            .and_then(|exchange| exchange.inbound);
+        let is_full = inbound
+            .and_then(|inbound| self.inbound.get(inbound))
+            .is_some_and(|inbound| inbound.socket.unwritten() > MAX_OUTPUT_BYTES);
         upstream.is_paused = is_full;
         if is_full {
             return;
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -12,8 +12,8 @@
         },
         request::{
             EndpointLoad,
-            PromptPart, //
-            RequestMetadata,
+            PromptPart,
+            RequestMetadata, //
         }, //
     },
     types::Tokens, //
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -45,8 +45,8 @@
             PendingUpdate, //
         },
         request::{
-            PromptPart, //
-            RequestMetadata,
+            PromptPart,
+            RequestMetadata, //
         },
         retry_budget::{
             RetryBounds,
--- a/tests/gateway_messages.rs
+++ b/tests/gateway_messages.rs
@@ -7,7 +7,7 @@
         Framing,
         HeadError,
         parse_request, //
-    },
+    }, //
 };
 use proptest::prelude::*;
 
