--- a/tests/gateway_messages.rs
+++ b/tests/gateway_messages.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as the gateway reads them: never two where one was sent.
+//! Parsing of HTTP messages: one message is never read as two.
 
 use cardamombridge::gateway::{
     body::BodyDecoder,
@@ -13,12 +13,12 @@
 
 const MAX_BYTES: usize = 4_096;
 
-fn refusal(text: &str) -> Option<HeadError> {
+fn parse_error(text: &str) -> Option<HeadError> {
     parse_request(text.as_bytes(), MAX_BYTES).err()
 }
 
-/// Guards against request smuggling: each of these heads can be read as another
-/// request by a server that is less strict.
+/// Guards against request smuggling: a less strict server could read each of
+/// these heads as another request.
 #[test]
 fn ambiguous_heads_are_refused() {
     let malformed = [
@@ -33,18 +33,22 @@
         "POST http://a/ HTTP/1.1\r\nHost: a\r\n\r\n",
     ];
     for text in malformed {
-        assert_eq!(refusal(text), Some(HeadError::Malformed), "{text:?}");
+        assert_eq!(parse_error(text), Some(HeadError::Malformed), "{text:?}");
     }
-    let coded = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n";
-    assert_eq!(refusal(coded), Some(HeadError::UnsupportedCoding));
+    let unsupported_coding =
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n";
+    assert_eq!(
+        parse_error(unsupported_coding),
+        Some(HeadError::UnsupportedCoding)
+    );
 }
 
-/// Guards against heads without an end that fill the memory.
+/// Guards against memory exhaustion by heads that never end.
 #[test]
 fn long_heads_are_refused() {
     let text = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}", "b".repeat(MAX_BYTES));
 
-    assert_eq!(refusal(&text), Some(HeadError::TooLong));
+    assert_eq!(parse_error(&text), Some(HeadError::TooLong));
 }
 
 fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), ()> {
@@ -57,7 +61,8 @@
     Ok((content, decoder.is_done(), used))
 }
 
-/// Guards against chunk sizes that servers read differently.
+/// Guards against request smuggling through chunk sizes that servers interpret
+/// differently.
 #[test]
 fn malformed_chunks_are_refused() {
     for text in [
@@ -76,8 +81,8 @@
 }
 
 proptest! {
-    /// Guards against a body that depends on where the network split it, and
-    /// against bytes after it that are taken for a part of it.
+    /// Guards against a decoded body that depends on how the network splits it,
+    /// and against the next message being read as part of it.
     #[test]
     fn chunked_body_is_the_same_however_it_is_split(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..6),
@@ -99,28 +104,28 @@
             decode(Framing::Chunked, &[left, right])
         });
 
-        let (content, is_done, used) = decoded.expect("a proper body");
+        let (content, is_done, used) = decoded.expect("valid chunked coding");
         prop_assert_eq!(content, chunks.concat());
         prop_assert!(is_done);
         prop_assert_eq!(used, body_length);
     }
 
-    /// Guards against events that are joined, lost or passed on in part.
+    /// Guards against events that are merged, lost or relayed incompletely.
     #[test]
-    fn events_are_whole_however_they_are_split(count in 1_u64..20, cut in 0_usize..600) {
+    fn events_are_complete_however_they_are_split(count in 1_u64..20, cut in 0_usize..600) {
         let text: String = (0..count)
             .map(|number| format!("id: {number}\ndata: x\n\n"))
             .collect();
         let cut = cut.min(text.len());
         let mut splitter = EventSplitter::new();
-        let mut passed_on = Vec::new();
+        let mut relayed = Vec::new();
 
-        splitter.push(&text.as_bytes()[..cut], &mut passed_on);
+        splitter.push(&text.as_bytes()[..cut], &mut relayed);
 
-        prop_assert!(passed_on.is_empty() || passed_on.ends_with(b"\n\n"));
-        prop_assert!(text.as_bytes().starts_with(&passed_on));
-        splitter.push(&text.as_bytes()[cut..], &mut passed_on);
-        prop_assert_eq!(passed_on, text.clone().into_bytes());
+        prop_assert!(relayed.is_empty() || relayed.ends_with(b"\n\n"));
+        prop_assert!(text.as_bytes().starts_with(&relayed));
+        splitter.push(&text.as_bytes()[cut..], &mut relayed);
+        prop_assert_eq!(relayed, text.clone().into_bytes());
         let last = format!("{}", count - 1);
         prop_assert_eq!(splitter.last_id().map(|id| id.as_str()), Some(last.as_str()));
     }
--- a/tests/gateway_outcomes.rs
+++ b/tests/gateway_outcomes.rs
@@ -1,4 +1,5 @@
-//! What a caller is told about its request is true, whatever endpoints do.
+//! Responses to callers match what happened to their requests, even if endpoints
+//! fail.
 
 mod gatewayenv;
 
@@ -29,8 +30,8 @@
     }
 }
 
-/// Guards against a stream that is ended properly although the endpoint that
-/// was to continue it answered with an error.
+/// Guards against a truncated stream that looks complete: the first endpoint
+/// stops midway and the one that should continue responds with an error.
 #[test]
 fn stream_is_cut_off_if_it_cannot_be_continued() {
     let endpoint = ScriptedEndpoint::start("e-1", |index, _| match index {
@@ -47,15 +48,15 @@
     assert_eq!(response.status, 200);
     assert!(
         !response.is_complete,
-        "the answer ends as if it were complete"
+        "the response ends as if it were complete"
     );
     assert_eq!(response.text(), (0..3).map(event_text).collect::<String>());
 }
 
-/// Guards against an event that is missing, comes twice or is joined from two
-/// runs when another endpoint continues a stream.
+/// Guards against events that are lost, duplicated or merged when another
+/// endpoint continues a stream that stopped in the middle of an event.
 #[test]
-fn stream_continues_after_the_last_whole_event() {
+fn stream_continues_after_the_last_complete_event() {
     let partial = Script::Raw(
         format!(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: a-1\r\nX-Server-Seal: s\r\n\
@@ -84,9 +85,10 @@
     assert_eq!(endpoint.runs().len(), 2);
 }
 
-/// Guards against a call that runs twice because its answer was lost.
+/// Guards against a second run of a non-idempotent request whose response was
+/// lost.
 #[test]
-fn call_that_may_not_repeat_runs_once_if_its_answer_is_lost() {
+fn non_idempotent_request_runs_once_if_its_response_is_lost() {
     let endpoint =
         ScriptedEndpoint::start("e-1", |_, _| Script::Close).expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
@@ -95,14 +97,17 @@
         .with_attempt("a-1", LIMIT_MS)
         .send(host.caller_address);
 
-    assert_eq!(response.status, 502, "a status that promises nothing");
+    assert_eq!(
+        response.status, 502,
+        "expected a status that does not say whether the request ran"
+    );
     assert_eq!(endpoint.runs().len(), 1);
 }
 
-/// Guards against a caller that gets the answer to an earlier request, which
-/// arrives late on a kept connection.
+/// Guards against the response to an earlier request being sent to the next
+/// caller: it arrives late on a connection that is reused.
 #[test]
-fn late_answer_to_an_earlier_request_is_dropped() {
+fn late_response_to_an_earlier_request_is_discarded() {
     let late = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a-0\r\nX-Server-Seal: s\r\n\
                 Content-Length: 5\r\n\r\nwrong";
     let endpoint = ScriptedEndpoint::start("e-1", move |index, _| match index {
@@ -123,10 +128,10 @@
     }
 }
 
-/// Guards against an error of an endpoint that is passed on although a second
-/// endpoint may run the request.
+/// Guards against an endpoint's error that reaches the caller although the
+/// request could have been retried.
 #[test]
-fn idempotent_request_is_repeated_after_an_error() {
+fn idempotent_request_is_retried_after_an_error() {
     let endpoint = ScriptedEndpoint::start("e-1", |index, _| match index {
         0 => Script::Answer(500, b"failed".to_vec()),
         _ => Script::Answer(200, b"found".to_vec()),
@@ -141,7 +146,7 @@
     assert_eq!((response.status, response.text().as_str()), (200, "found"));
 }
 
-/// Guards against a refusal that says "not run" about a request that ran.
+/// Guards against a refusal that states "not run" for a request that ran.
 #[test]
 fn refusal_says_not_run_only_if_no_endpoint_ran_the_request() {
     let endpoint =
@@ -157,7 +162,7 @@
     assert!(endpoint.runs().is_empty());
 }
 
-/// Guards against an outcome that the metrics and the log do not show.
+/// Guards against request outcomes that are missing in the metrics or the log.
 #[test]
 fn metrics_and_log_show_how_a_request_ended() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, _| Script::Answer(200, b"ok".to_vec()))
@@ -175,25 +180,25 @@
     assert!(metrics.contains("cardamombridge_first_event_seconds_bucket"));
 }
 
-/// Guards against an endpoint that is tried again and again after it restarted
-/// under another id at the same address: each try uses up the limit of repeats.
+/// Guards against repeated attempts at an endpoint that has restarted with
+/// another id at the same address: each attempt uses up the retry budget.
 #[test]
 fn replaced_endpoint_is_not_tried_again() {
     let store = store_with_configuration();
     let replaced = ScriptedEndpoint::start("e-1", |_, _| Script::Answer(421, Vec::new()))
         .expect("the endpoint starts");
-    let good = ScriptedEndpoint::start("e-2", |_, _| {
+    let available = ScriptedEndpoint::start("e-2", |_, _| {
         let response = Script::Answer(200, b"ok".to_vec());
         Script::After(Duration::from_millis(300), Box::new(response))
     })
     .expect("the endpoint starts");
     announce(&store, &replaced, "north");
-    announce(&store, &good, "north");
+    announce(&store, &available, "north");
     let host = Host::start(&store, &HostOptions::default());
     host.wait_log("\"endpoint announced\",\"endpoint\":\"e-1\"");
     host.wait_log("\"endpoint announced\",\"endpoint\":\"e-2\"");
 
-    // They overlap, so that the replaced endpoint always looks idle.
+    // The requests overlap, so that the replaced endpoint always looks idle.
     std::thread::scope(|scope| {
         for number in 0..12 {
             let caller_address = host.caller_address;
@@ -207,6 +212,9 @@
         }
     });
 
-    let tries = replaced.arrivals().len();
-    assert_eq!(tries, 1, "the replaced endpoint was tried {tries} times");
+    let attempts = replaced.arrivals().len();
+    assert_eq!(
+        attempts, 1,
+        "the replaced endpoint was tried {attempts} times"
+    );
 }
--- a/tests/gateway_shutdown.rs
+++ b/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! What callers see of a host that is asked to stop.
+//! Behaviour of a host towards callers when it stops and when they disconnect.
 
 mod gatewayenv;
 
@@ -21,8 +21,8 @@
 };
 use nix::sys::signal::Signal;
 
-/// Guards against requests that a stopping host takes although it cannot finish
-/// them, and against streams that it cuts although it could have.
+/// Guards against a stopping host that accepts requests it cannot finish, or
+/// interrupts streams that it could have finished.
 #[test]
 fn stopping_host_finishes_streams_and_refuses_late_requests() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| match arrival.path.as_str() {
@@ -66,10 +66,11 @@
     assert!(store.keys("cardamombridge/hosts/").is_empty());
 }
 
-/// Guards against a caller that left while its stream runs on at the endpoint,
-/// and against a call with an effect that is broken off with its caller.
+/// Guards against a stream that keeps running at the endpoint after its caller
+/// has disconnected, and against the interruption of a request with a side
+/// effect whose caller has disconnected.
 #[test]
-fn stream_ends_with_its_caller_and_a_booking_does_not() {
+fn disconnection_ends_a_stream_but_not_a_booking() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| match arrival.path.as_str() {
         "/draft/1" => Script::Events {
             first: 0,
@@ -107,9 +108,10 @@
     assert!(log.contains("\"outcome\":\"caller left\""));
 }
 
-/// Guards against a second answer on a kept connection that is lost or mixed.
+/// Guards against responses that are lost or reordered when requests are
+/// pipelined on one connection.
 #[test]
-fn kept_connection_serves_requests_one_after_the_other() {
+fn pipelined_requests_are_answered_in_order() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| {
         Script::Answer(200, arrival.attempt().as_bytes().to_vec())
     })
@@ -125,13 +127,13 @@
         .collect();
 
     std::io::Write::write_all(&mut stream, &pipelined).expect("the requests are sent");
-    // All answers may arrive at once.
+    // All responses may arrive at once.
     thread::sleep(Duration::from_millis(300));
 
     let mut read = Vec::new();
     for number in 0..3 {
-        let response = read_next_response(&mut stream, &mut read).expect("an answer");
+        let response = read_next_response(&mut stream, &mut read).expect("a response");
         assert_eq!(response.text(), format!("a-{number}"));
     }
-    assert!(read.is_empty(), "bytes after the last answer: {read:?}");
+    assert!(read.is_empty(), "bytes after the last response: {read:?}");
 }
