--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -1,10 +1,11 @@
-//! Randomized soak of real gateway processes under faults from outside.
+//! Randomised soak test of real gateway processes under injected faults.
 //!
-//! A seed decides the requests, the answers of the endpoints and the faults:
-//! hosts are paused, stopped, killed and restarted; their ways to the store are
-//! cut, frozen and delayed; the store refuses, closes, loses answers and drops
-//! its history; configurations, evacuations and removals come in between. The
-//! checks use only what callers received and what endpoints saw.
+//! A seed determines the requests, the responses of the endpoints and the
+//! faults: hosts are paused, stopped, killed and restarted; their connections to
+//! the store are cut, frozen and delayed; the store refuses calls, closes
+//! connections, loses responses and drops its history; configurations,
+//! evacuations and removals are interleaved. The checks use what callers
+//! received, what endpoints saw and the versions that hosts logged.
 //!
 //! `SOAK_SEEDS` lists seeds and `SOAK_SECONDS` sets the length of each, such as
 //! `SOAK_SEEDS=1,2,3 SOAK_SECONDS=20 cargo test --test gateway_soak`.
@@ -62,9 +63,9 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 
-/// Seeds that run in CI, and every seed that ever failed.
+/// Seeds that run in CI, and every seed that has ever failed.
 const DEFAULT_SEEDS: [u64; 2] = [1, 2];
-/// Length of one seed in CI.
+/// Duration of the run of one seed in CI.
 const DEFAULT_LENGTH_S: u64 = 6;
 const HOSTS: [(&str, &str); 3] = [
     ("host-1", "north"),
@@ -80,7 +81,7 @@
 const CALLER_COUNT: u64 = 6;
 const EVENT_COUNT: u64 = 6;
 const LIMIT_MS: u64 = 3_000;
-/// Time in which all hosts serve again after the last fault.
+/// Time limit for all hosts to serve again after the last fault.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(8);
 
 struct Outcome {
@@ -95,7 +96,8 @@
     random.next_u64() % count
 }
 
-/// What an endpoint does with a request, decided by the seed and the attempt.
+/// Returns what an endpoint does with a request, from the seed and the index of
+/// the request.
 fn script(seed: u64, arrival: &Arrival, index: usize) -> Script {
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ (index as u64) << 32);
     let first = arrival
@@ -132,7 +134,7 @@
     }
 }
 
-/// Sends requests until told to end.
+/// Sends requests as a caller until `is_ending` is set.
 fn send_requests(
     seed: u64,
     caller_addresses: &CallerAddresses,
@@ -225,7 +227,7 @@
         self.hosts[index] = Some(host);
     }
 
-    /// Ends a host's process with a signal and starts another one.
+    /// Stops a host's process with a signal and starts another one.
     fn restart(&mut self, index: usize, signal: Signal) {
         if let Some(mut host) = self.hosts[index].take() {
             host.signal(signal);
@@ -244,14 +246,15 @@
         self.store.put("op/config", &configuration(self.version));
     }
 
-    /// A second operator overwrites the newest configuration with an older one.
+    /// Overwrites the newest configuration with an older one, as a second operator
+    /// may do.
     fn write_older_configuration(&mut self) {
         self.write_configuration();
         self.store
             .put("op/config", &configuration(self.version - 1));
     }
 
-    /// Plays one fault and mends it.
+    /// Injects a random fault and removes it.
     fn inject_fault(&mut self, random: &mut Pcg64Mcg) {
         let index = random_below(random, HOSTS.len() as u64) as usize;
         let pause = Duration::from_millis(100 + random_below(random, 900));
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Announces an endpoint as leaving, and later as started again.
+    /// Announces an endpoint as draining, and later as restarted.
     fn replace_endpoint(&self, index: usize, pause: Duration) {
         let endpoint = &self.endpoints[index];
         let region = ENDPOINTS[index].1;
@@ -325,7 +328,7 @@
     }
 }
 
-/// Runs of each attempt at all endpoints.
+/// Counts the runs of each attempt at all endpoints.
 fn runs(endpoints: &[ScriptedEndpoint]) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for run in endpoints.iter().flat_map(ScriptedEndpoint::runs) {
@@ -357,7 +360,7 @@
         "/chat/1" | "/draft/1" => (0..EVENT_COUNT).map(event_text).collect(),
         _ => attempt.clone(),
     };
-    // The script that sends a second answer gives the first one this body.
+    // `Script::Extra` sends this body before the second response.
     let is_own = text == expected || text == "answer";
     match response.is_complete {
         true => assert!(is_own, "seed {seed}: {attempt} {path} got {text:?}"),
@@ -445,7 +448,7 @@
         .filter(|response| response.status == 200 && response.is_complete)
         .count();
     println!(
-        "seed {seed}: {} requests, {complete_count} answered whole",
+        "seed {seed}: {} requests, {complete_count} complete responses",
         outcomes.len()
     );
     assert!(
@@ -455,11 +458,12 @@
     );
 }
 
-/// Guards against promises that break under faults in series: at most one run,
-/// true refusals, whole and own answers, events in order, versions that never
-/// go back, and recovery.
+/// Guards against guarantees that are violated under a series of faults: at most
+/// one run of a non-idempotent request, refusals only of requests that did not
+/// run, complete responses to the right request, events in order, configuration
+/// versions that never decrease, and recovery.
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let seconds = std::env::var("SOAK_SECONDS")
         .ok()
         .and_then(|text| text.parse().ok())
--- a/tests/gatewayenv/mod.rs
+++ b/tests/gatewayenv/mod.rs
@@ -1,4 +1,4 @@
-//! Gateway hosts as real processes, with stand-ins of the store and of endpoints.
+//! Gateway hosts as real processes, with stand-ins for the store and endpoints.
 #![allow(
     dead_code,
     reason = "each test file uses the part of this module that it needs"
@@ -44,36 +44,36 @@
 };
 use tempfile::TempDir;
 
-/// Longest wait for something that should happen at once.
+/// Time limit for conditions that should hold almost immediately.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(10);
-/// Name of the host in requests.
+/// Value of the `Host` header in requests.
 pub const SITE_HOST: &str = "shop.example";
 
-/// A gateway host as a process.
+/// A gateway host that runs as a process.
 pub struct Host {
     child: Child,
-    /// Where callers connect.
+    /// Address for requests of callers.
     pub caller_address: SocketAddr,
-    /// Where callers ask which hosts to use.
+    /// Address of the directory.
     pub directory_address: SocketAddr,
-    /// Where the platform asks whether the host takes requests.
+    /// Address of the readiness check.
     pub ready_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics.
     pub metrics_address: SocketAddr,
     log_path: PathBuf,
     settings: PathBuf,
     _directory: TempDir,
 }
 
-/// How a host is started.
+/// Options of a host.
 pub struct HostOptions {
     /// Name.
     pub name: &'static str,
     /// Region; its data centre is the region's name with `-a`.
     pub region: &'static str,
-    /// Time between the signal to stop and the end of the process.
+    /// Time between the stop signal and the forced end of the process.
     pub shutdown_s: u64,
-    /// Address of the store, if it is not the store itself.
+    /// Address at which the host reaches the store, if not its own address.
     pub store: Option<SocketAddr>,
 }
 
@@ -96,7 +96,8 @@
         host
     }
 
-    /// Starts a host, on other ports if another process takes one of them first.
+    /// Starts a host without waiting; retries with other ports if one of them has
+    /// been taken by another process.
     pub fn start_only(store: &MetadataStore, options: &HostOptions) -> Self {
         loop {
             let mut host = Self::spawn(store, options);
@@ -153,18 +154,18 @@
         }
     }
 
-    /// Waits until the host takes requests.
+    /// Waits until the host accepts requests.
     pub fn wait_ready(&self) {
         wait_until("the host is ready", || self.is_ready());
     }
 
-    /// Whether the host says that it takes requests.
+    /// Returns whether the readiness check of the host succeeds.
     pub fn is_ready(&self) -> bool {
         let response = Request::get("/cardamombridge/readyz").try_send(self.ready_address);
         response.is_some_and(|response| response.status == 200)
     }
 
-    /// What the host logged so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
@@ -174,7 +175,7 @@
         wait_until(text, || self.log().contains(text));
     }
 
-    /// Replaces a part of the settings file, without a signal.
+    /// Replaces text in the settings file without sending a signal.
     pub fn replace_setting(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.settings).expect("settings can be read");
         assert!(text.contains(from), "no such setting: {from}");
@@ -184,14 +185,18 @@
     /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        kill(pid, signal).expect("the process takes signals");
+        kill(pid, signal).expect("the signal is sent");
     }
 
-    /// Waits for the process to end and returns its exit code.
+    /// Waits up to `limit` for the process to end; returns its exit code.
     pub fn wait_end(&mut self, limit: Duration) -> Option<i32> {
         let deadline = Instant::now() + limit;
         while Instant::now() < deadline {
-            if let Some(status) = self.child.try_wait().expect("the process can be asked") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("the process status can be read")
+            {
                 return status.code();
             }
             thread::sleep(Duration::from_millis(20));
@@ -211,7 +216,7 @@
     }
 }
 
-/// A store, and a host of it that knows `endpoint`.
+/// Starts a store and a host that knows `endpoint`.
 pub fn host_with(endpoint: &ScriptedEndpoint) -> (MetadataStore, Host) {
     let store = store_with_configuration();
     announce(&store, endpoint, "north");
@@ -220,7 +225,7 @@
     (store, host)
 }
 
-/// Addresses that nothing listens on.
+/// Returns loopback addresses with free ports.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"))
@@ -231,7 +236,7 @@
         .collect()
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; `what` names it if it does not in time.
 pub fn wait_until<F>(what: &str, mut holds: F)
 where
     F: FnMut() -> bool,
@@ -252,21 +257,21 @@
     body: Vec<u8>,
 }
 
-/// What a caller received.
+/// A response as a caller received it.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Head as text.
     pub head: String,
     /// Body without transfer coding.
     pub body: Vec<u8>,
-    /// The end of the body arrived.
+    /// The end of the body has arrived.
     pub is_complete: bool,
 }
 
 impl Response {
-    /// Value of a header field.
+    /// Returns the value of a header field.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (field, value) = line.split_once(':')?;
@@ -274,14 +279,14 @@
         })
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
 impl Request {
-    /// A request without a body.
+    /// Returns a GET request without a body.
     pub fn get(path: &str) -> Self {
         Self {
             method: "GET",
@@ -291,7 +296,7 @@
         }
     }
 
-    /// A request with a body.
+    /// Returns a POST request with a body.
     pub fn post(path: &str, body: &[u8]) -> Self {
         Self {
             method: "POST",
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Names the attempt and its time limit.
+    /// Sets the attempt id and the time limit.
     pub fn with_attempt(self, attempt: &str, limit_ms: u64) -> Self {
         self.with_header("X-Attempt-Id", attempt)
             .with_header("X-Deadline-Ms", &limit_ms.to_string())
@@ -312,7 +317,7 @@
         self
     }
 
-    /// The request as it is sent.
+    /// Returns the encoded request.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!(
             "{} {} HTTP/1.1\r\nHost: {SITE_HOST}\r\n",
@@ -330,12 +335,12 @@
         bytes
     }
 
-    /// Sends the request on a connection of its own and reads the answer.
+    /// Sends the request on a new connection and reads the response.
     pub fn send(&self, address: SocketAddr) -> Response {
-        self.try_send(address).expect("an answer")
+        self.try_send(address).expect("a response")
     }
 
-    /// Like `send`, but the host may be gone.
+    /// Like [`Self::send`]; none if the host does not respond.
     pub fn try_send(&self, address: SocketAddr) -> Option<Response> {
         let mut stream = TcpStream::connect(address).ok()?;
         stream.write_all(&self.bytes()).ok()?;
@@ -343,13 +348,15 @@
     }
 }
 
-/// Reads one answer; none if the connection ends before its head.
+/// Reads one response; none if the connection ends before its head.
 pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
     read_next_response(stream, &mut Vec::new())
 }
 
-/// Reads one of several answers on a connection; `read` holds what was read from
-/// it beyond the answer before, and then beyond this one.
+/// Reads one of several responses on a connection.
+///
+/// `read` contains bytes already read beyond the previous response; on return,
+/// it contains those beyond this one.
 pub fn read_next_response(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Response> {
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
@@ -358,7 +365,7 @@
     let mut buffer = [0; 4096];
     let (head, length) = loop {
         let parsed = cardamombridge::gateway::head::parse_response(&bytes, false);
-        if let Some(parsed) = parsed.expect("a proper head") {
+        if let Some(parsed) = parsed.expect("a valid head") {
             break parsed;
         }
         match stream.read(&mut buffer) {
@@ -371,7 +378,7 @@
     let mut decoder = cardamombridge::gateway::body::BodyDecoder::new(head.framing);
     let mut body = Vec::new();
     let is_complete = loop {
-        let used = decoder.decode(&input, &mut body).expect("a proper body");
+        let used = decoder.decode(&input, &mut body).expect("a valid body");
         input.drain(..used);
         if decoder.is_done() {
             break true;
@@ -390,17 +397,17 @@
     })
 }
 
-/// A store with a configuration whose routes go to the service `desk`.
+/// Starts a store with a configuration whose routes go to the service `desk`.
 ///
-/// `/read/` may repeat, `/book/` may not, `/chat/` is a stream that resumes and
-/// `/draft/` one that does not.
+/// `/read/` is idempotent, `/book/` is not, `/chat/` is a resumable stream and
+/// `/draft/` a stream that cannot be resumed.
 pub fn store_with_configuration() -> MetadataStore {
     let store = MetadataStore::start().expect("the store starts");
     store.put("op/config", &configuration(7));
     store
 }
 
-/// The configuration of [`store_with_configuration`] with another version.
+/// Returns the configuration of [`store_with_configuration`] with a version.
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -419,7 +426,7 @@
     })
 }
 
-/// A route at the path of its name.
+/// Returns a route whose path prefix is its name.
 pub fn route(name: &str, kind: &str, attempts: u32, is_resumable: bool) -> Value {
     json!({
         "name": name, "host": SITE_HOST, "prefix": format!("/{name}/"), "kind": kind,
@@ -434,7 +441,7 @@
     announce_with(store, endpoint, region, &json!({}));
 }
 
-/// Announces an endpoint with fields that differ from the usual ones.
+/// Announces an endpoint with `fields` that override the default ones.
 pub fn announce_with(
     store: &MetadataStore,
     endpoint: &ScriptedEndpoint,
