--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,5 +1,5 @@
-//! Guards against metrics that are renamed, recorded as another kind, or that
-//! hold up the caller.
+//! Guards against renamed StatsD metrics, metrics of the wrong type, recording
+//! that blocks, and invalid log settings.
 
 use std::{
     collections::BTreeSet,
@@ -22,6 +22,7 @@
     }, //
 };
 
+/// Guards against names that collide or that a StatsD server would alter.
 #[test]
 fn names_are_unique_and_safe_for_statsd() {
     let names: BTreeSet<&str> = Metric::ALL.iter().map(|metric| metric.name()).collect();
@@ -34,6 +35,7 @@
     assert!(names.iter().all(is_safe), "{names:?}");
 }
 
+/// Guards against lines of the wrong type, unit or tags.
 #[test]
 fn values_arrive_as_statsd_lines_with_tags() {
     let receiver = UdpSocket::bind("127.0.0.1:0").expect("bound");
@@ -69,6 +71,7 @@
     assert_eq!(metrics.dropped(), 0);
 }
 
+/// Guards against recording that fails if no server is configured.
 #[test]
 fn recording_without_a_server_does_nothing() {
     let metrics = Metrics::none();
@@ -79,6 +82,7 @@
     assert_eq!(metrics.dropped(), 0);
 }
 
+/// Guards against a log filter or format that is accepted although it is invalid.
 #[test]
 fn logs_refuse_an_invalid_filter_and_a_second_setup() {
     let invalid = init(LogFormat::Json, "info,=[");
--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -1,5 +1,5 @@
-//! Guards the client of the platform against lost answers, outages and a list
-//! that lags.
+//! Guards the client of the platform against lost responses, outages and stale
+//! service lists.
 
 use std::{
     net::{
@@ -75,9 +75,9 @@
     assert_eq!((standin.counts().reads, standin.counts().writes), (2, 2));
 }
 
-/// Guards against a lost answer that is reported as a failed write.
+/// Guards against a lost response that is reported as a failed write.
 #[test]
-fn a_lost_answer_is_unknown_and_the_write_may_have_taken_effect() {
+fn a_lost_response_is_unknown_and_the_write_may_have_taken_effect() {
     let standin = standin();
     let kv = client(&standin);
     standin.lose_write_answers(1);
@@ -89,10 +89,10 @@
     assert_eq!(state.value.as_deref(), Some(b"value".as_slice()));
 }
 
-/// Guards against a slow service that holds a caller beyond its timeout, and
-/// against calling the late write failed.
+/// Guards against a slow service that blocks a call beyond its timeout, and
+/// against reporting the late write as failed.
 #[test]
-fn a_slow_write_times_out_as_unknown_and_lands_later() {
+fn a_slow_write_times_out_as_unknown_and_takes_effect_later() {
     let standin = standin();
     let kv = client(&standin);
     standin.set_delay(Duration::from_millis(800));
@@ -109,7 +109,7 @@
     assert_eq!(state.value.as_deref(), Some(b"late".as_slice()));
 }
 
-/// Guards against an outage that looks like an empty store.
+/// Guards against an outage that is reported as an empty store.
 #[test]
 fn an_outage_is_an_error_and_a_refused_connection_wrote_nothing() {
     let standin = standin();
@@ -126,7 +126,7 @@
     assert!(not_sent.is_err_and(|error| !error.may_have_taken_effect()));
 }
 
-/// Guards against values that the service would reject after they were sent.
+/// Guards against sending values that the service rejects because of their size.
 #[test]
 fn a_value_above_the_limit_is_not_sent() {
     let standin = standin();
@@ -142,7 +142,7 @@
     assert_eq!(standin.counts().writes, 1);
 }
 
-/// Guards against a watch that misses a change or polls.
+/// Guards against a blocking read that misses a change or polls.
 #[test]
 fn a_blocking_read_waits_for_the_next_change() {
     let standin = standin();
@@ -159,15 +159,15 @@
     }
 
     let written = kv.compare_and_swap("key", seen.modify_index, b"new".to_vec());
-    let news = watcher.join().expect("no panic").expect("read");
+    let changed = watcher.join().expect("no panic").expect("read");
 
     assert!(matches!(written, Ok(CasOutcome::Written)));
-    assert_eq!(news.value.as_deref(), Some(b"new".as_slice()));
+    assert_eq!(changed.value.as_deref(), Some(b"new".as_slice()));
     assert_eq!(standin.counts().reads, 2);
 }
 
-/// Guards against a lock that outlives its lease, and against a paused holder
-/// that writes after its lease has ended.
+/// Guards against a lock that outlives its lease, and against a paused lock
+/// holder that writes after its lease has ended.
 #[test]
 fn a_lease_that_is_not_renewed_releases_its_lock() {
     let standin = standin();
@@ -177,14 +177,14 @@
         .expect("session");
     let other = kv.create_session(WAIT).expect("session");
 
-    let held = kv.acquire("lock", &holder, b"holder".to_vec());
+    let acquired = kv.acquire("lock", &holder, b"holder".to_vec());
     let refused = kv.acquire("lock", &other, b"other".to_vec());
     thread::sleep(Duration::from_millis(300));
     let is_renewed = kv.renew_session(&holder).expect("renew");
     let late = kv.acquire("lock", &holder, b"late".to_vec());
     let state = kv.read("lock").expect("read");
 
-    assert!(matches!(held, Ok(CasOutcome::Written)));
+    assert!(matches!(acquired, Ok(CasOutcome::Written)));
     assert!(matches!(refused, Ok(CasOutcome::Stale)));
     assert!(!is_renewed);
     assert!(!matches!(late, Ok(CasOutcome::Written)));
@@ -192,7 +192,7 @@
     assert_eq!(state.value.as_deref(), Some(b"holder".as_slice()));
 }
 
-/// Guards against endpoints of the wrong state or kind in the list.
+/// Guards against service lists with endpoints of the wrong state or kind.
 #[test]
 fn the_list_shows_live_and_leaving_endpoints() {
     let standin = standin();
@@ -218,7 +218,8 @@
     assert_eq!((listed.invalid, hosts.entries.len()), (0, 0));
 }
 
-/// Guards against a stand-in whose lag does not lag, which would hide faults.
+/// Guards against a stand-in that does not simulate list lag, which would hide
+/// faults.
 #[test]
 fn a_lagging_list_shows_an_entry_late() {
     let standin = standin();
