--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -1,10 +1,10 @@
 //! The endpoints that this host knows, and the choice among them.
 //!
-//! The choice answers two loads. When requests share prompt parts, a part is
-//! read once in a region rather than at every endpoint, because hosts that know
-//! nothing of each other's requests prefer the same endpoint for the same part.
-//! When one endpoint has a backlog, the prediction moves the next request to
-//! another one, even if the part has to be read again there.
+//! The choice serves two load patterns. When requests share prompt parts, a part
+//! is prefilled once in a region rather than at every endpoint, because hosts
+//! that know nothing of each other's requests prefer the same endpoint for the
+//! same part. When one endpoint has a backlog, its predicted latency moves the
+//! next request to another one, even if the part has to be prefilled again there.
 
 use std::{
     collections::{
@@ -37,71 +37,75 @@
     request::Call, //
 };
 
-/// Time until a first event without any prompt to read: the shortest that a
+/// Time until a first event without any prompt to prefill: the shortest that a
 /// batching engine needs for a step and its set-up.
 const FIRST_EVENT_MS: f64 = 25.0;
-/// Time to read a prompt token between the steps of other requests, before the
-/// endpoint's own speed is known.
-const PREFILL_MS_PER_TOKEN: f64 = 0.022;
-/// Growth of a step with each request in the batch, relative to reading alone.
+/// Time to prefill a prompt token between the steps of other requests, before
+/// the speed of the service's endpoints is known.
+const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.022;
+/// Relative increase of the time per prefilled token with each request in
+/// the batch.
 const BATCH_SLOWDOWN: f64 = 0.006;
-/// Typical time of a call to a plain service before any was seen.
-const CALL_MS: f64 = 30.0;
-/// Typical time of a generation before any was seen.
-const GENERATION_MS: f64 = 3_000.0;
-/// Share of an unknown shared part that is expected in the cache of the
-/// endpoint that all hosts prefer for it.
-const PREFERRED_CACHE: f64 = 0.7;
-/// Share of the goal within which a wait costs a caller nothing yet.
-const SPARE_GOAL_SHARE: f64 = 0.45;
-/// Cost of a millisecond in which an endpoint reads, relative to one of waiting
-/// beyond the spare time.
+/// Typical time of a call to a service without engines, before any was recorded.
+const INITIAL_CALL_MS: f64 = 30.0;
+/// Typical time of a generation, before any was recorded.
+const INITIAL_GENERATION_MS: f64 = 3_000.0;
+/// Share of a shared part that is expected in the cache of the endpoint that all
+/// hosts prefer for it, if this host does not know it to be cached there.
+const PREFERRED_CACHED_SHARE: f64 = 0.7;
+/// Share of the latency goal within which a wait has no excess cost.
+const FREE_WAIT_SHARE: f64 = 0.45;
+/// Cost of a millisecond of prefill; compare [`EXCESS_WAIT_WEIGHT`].
 const PREFILL_WEIGHT: f64 = 3.0;
-/// Cost of copying what takes a millisecond to read.
+/// Cost of copying the tokens that take a millisecond to prefill.
 const COPY_WEIGHT: f64 = 0.8;
-/// Fewest tokens that are copied; less is read faster than a copy is set up.
+/// Fewest tokens that are copied; fewer are prefilled faster than a copy is set
+/// up.
 const MIN_COPIED_TOKENS: u64 = 512;
-/// Part of an endpoint's memory in which unused parts stay while requests run.
+/// Share of an endpoint's memory in which unused prompt parts stay cached while
+/// requests run.
 const CACHE_SHARE: f64 = 0.6;
 /// Cost of a millisecond until the first event.
 const WAIT_WEIGHT: f64 = 0.4;
-/// Cost of a millisecond beyond the spare time.
-const EXCESS_WEIGHT: f64 = 4.0;
+/// Additional cost of a millisecond beyond [`FREE_WAIT_SHARE`] of the goal.
+const EXCESS_WAIT_WEIGHT: f64 = 4.0;
 /// Cost of traffic between regions.
 const REMOTE_COST_MS: f64 = 60.0;
 /// How long a prompt part is expected in the caches of another region.
-const REMOTE_CACHE_MS: u64 = 8_000;
-/// Parts remembered for other regions before old ones are dropped.
+const REMOTE_CACHE_LIFETIME_MS: u64 = 8_000;
+/// Prompt parts remembered for other regions before expired ones are dropped.
 const MAX_REMOTE_PARTS: usize = 4_096;
-/// Cost of a full endpoint relative to an empty one: events come more slowly.
+/// Cost of a full endpoint relative to an empty one, where events are sent more
+/// slowly.
 const LOAD_COST_MS: f64 = 150.0;
-/// Cost of a millisecond in which an endpoint reads instead of going on with the
-/// streams that run there, for each of them.
+/// Cost of a millisecond by which prefill delays the streams at an endpoint, per
+/// stream.
 const DELAY_WEIGHT: f64 = 0.08;
-/// Time of an engine's step that reads no prompt, in which each stream gets a
-/// token: the shortest that the platform states, with a usual batch.
+/// Time of an engine's step without prefill, in which each stream gets a token:
+/// the shortest that the platform states, with a usual batch.
 const DECODE_STEP_MS: f64 = 4.5;
-/// Largest share of the time that an engine is expected to read.
+/// Largest share of its time that an engine is expected to spend on prefill.
 const MAX_PREFILL_SHARE: f64 = 0.9;
-/// Cost of a millisecond that a stream takes longer.
-const STREAM_WEIGHT: f64 = 0.08;
+/// Cost of a millisecond of a stream's predicted duration.
+const STREAM_TIME_WEIGHT: f64 = 0.08;
 /// Cost of a stream that will not end within its time limit.
 const OVERRUN_COST_MS: f64 = 600.0;
-/// Weight of a new observation in the mean time of a run.
+/// Weight of a new observation in the moving average of a request's run time.
 const RUN_EWMA_WEIGHT: f64 = 0.1;
-/// The same for the time to read a token, which is told by few requests.
+/// Weight of a new observation in the moving average of the prefill time per
+/// token, which few requests show.
 const PREFILL_EWMA_WEIGHT: f64 = 0.03;
-/// Weight of the error rate in the choice.
-const ERROR_WEIGHT: f64 = 6.0;
+/// Relative increase of an endpoint's cost at an error rate of 1.
+const ERROR_RATE_WEIGHT: f64 = 6.0;
 /// Share of an engine's memory beyond which requests are preempted.
-const MEMORY_SHARE: f64 = 0.85;
+const PREEMPTION_MEMORY_SHARE: f64 = 0.85;
 
-/// The rule for requests to cold endpoints.
+/// Limit on the rate of requests to a cold endpoint, for all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBounds {
     /// Factor on the rate that a service tolerates.
     pub factor: f64,
-    /// Requests a second on top.
+    /// Additional requests a second.
     pub slack: f64,
 }
 
@@ -110,15 +114,15 @@
 pub struct Demand<'a> {
     /// Its service.
     pub service: &'a Service,
-    /// What the caller said.
+    /// Metadata of the caller's request.
     pub call: &'a Call,
-    /// Endpoints that are not tried.
+    /// Endpoints that are not chosen.
     pub excluded: &'a [CompactString],
     /// The hosts of the region.
     pub region: &'a RegionView,
-    /// Time left until an answer is late.
+    /// Time left until the response misses its latency goal.
     pub goal_left_ms: f64,
-    /// Time left until the caller gives up.
+    /// Time left until the request's deadline.
     pub time_left_ms: f64,
 }
 
@@ -127,15 +131,16 @@
 pub struct Choice {
     /// The endpoint.
     pub endpoint: CompactString,
-    /// Predicted time until the first event, or the answer of a plain service.
+    /// Predicted time until the first event, or until the response if the service
+    /// has no engines.
     pub first_event_ms: f64,
     /// Work at the endpoint.
     pub work: Work,
     /// Prompt tokens that are copied from another endpoint.
     pub copied_tokens: u64,
-    /// Time that all requests before this one take.
+    /// Predicted time until the endpoint begins with the request.
     pub backlog_ms: f64,
-    /// Cost, by which choices and offers of other regions are compared.
+    /// Cost, comparable among endpoints and with offers of other regions.
     pub cost_ms: f64,
     /// Endpoint from which cached parts of the prompt are copied first.
     pub fetch_from: Option<SocketAddr>,
@@ -144,8 +149,10 @@
 /// Where the start of a prompt is probably cached.
 #[derive(Debug, Default)]
 struct Caches {
+    /// Cached tokens by endpoint.
     tokens: Vec<(CompactString, u64)>,
-    /// The endpoint with most of it, if endpoints copy from each other.
+    /// Id, address and cached tokens of the endpoint with the most of them, if
+    /// endpoints copy from each other.
     source: Option<(CompactString, SocketAddr, u64)>,
 }
 
@@ -167,17 +174,18 @@
     }
 }
 
-/// Cost of a wait: little within a part of the goal, and more beyond it.
+/// Returns the cost of a wait: low within a share of the goal, and higher beyond
+/// it.
 fn wait_cost(first_event_ms: f64, goal_left_ms: f64) -> f64 {
-    let excess_ms = (first_event_ms - goal_left_ms * SPARE_GOAL_SHARE).max(0.0);
-    WAIT_WEIGHT * first_event_ms + EXCESS_WEIGHT * excess_ms
+    let excess_ms = (first_event_ms - goal_left_ms * FREE_WAIT_SHARE).max(0.0);
+    WAIT_WEIGHT * first_event_ms + EXCESS_WAIT_WEIGHT * excess_ms
 }
 
-/// Cost of the time that a stream takes after its first event.
+/// Returns the cost of the time that a stream takes after its first event.
 ///
-/// An engine gives each stream a token between the chunks of prompts that it
-/// reads, so long answers are slow, and may not end in time, where many prompts
-/// are read.
+/// An engine generates a token of each stream between the prompt chunks that it
+/// prefills, so long responses are slow, and may miss their deadline, where many
+/// prompts are prefilled.
 fn stream_cost(
     endpoint: &Endpoint,
     choice: &Choice,
@@ -195,19 +203,19 @@
     let stream_ms = endpoint.slowness() * tokens * DECODE_STEP_MS / (1.0 - prefill_share);
     let is_overrun = choice.first_event_ms + stream_ms > demand.time_left_ms;
     let overrun_ms = if is_overrun { OVERRUN_COST_MS } else { 0.0 };
-    STREAM_WEIGHT * stream_ms + overrun_ms
+    STREAM_TIME_WEIGHT * stream_ms + overrun_ms
 }
 
-/// Tokens that an endpoint has cached, from knowledge or, at the endpoint that
-/// all hosts prefer, from what they probably sent there.
+/// Returns the tokens that an endpoint is expected to have cached: the known ones
+/// or, at the endpoint that all hosts prefer, those that they probably sent there.
 fn expected_cached(known: u64, call: &Call, is_preferred: bool) -> u64 {
     if !is_preferred {
         return known;
     }
-    known.max((call.shared_tokens() as f64 * PREFERRED_CACHE) as u64)
+    known.max((call.shared_tokens() as f64 * PREFERRED_CACHED_SHARE) as u64)
 }
 
-/// All endpoints of this host's view.
+/// All endpoints that this host knows.
 #[derive(Debug)]
 pub struct Fleet {
     region: CompactString,
@@ -216,14 +224,15 @@
     regions: BTreeMap<CompactString, CompactString>,
     endpoints: BTreeMap<CompactString, Endpoint>,
     evacuated: BTreeSet<CompactString>,
-    run_ms: BTreeMap<CompactString, f64>,
+    mean_run_ms: BTreeMap<CompactString, f64>,
     prefill_ms_per_token: BTreeMap<CompactString, f64>,
-    /// When a prompt part was last sent to another region.
+    /// When a prompt part was last sent to another region, by region and part.
     remote_parts: BTreeMap<(CompactString, u64), u64>,
 }
 
 impl Fleet {
-    /// A fleet without endpoints, for a host in `region`.
+    /// Creates a fleet without endpoints for a host in `region`; `regions` maps data
+    /// centres to their regions.
     pub fn new(
         host: CompactString,
         region: CompactString,
@@ -237,13 +246,13 @@
             regions,
             endpoints: BTreeMap::new(),
             evacuated: BTreeSet::new(),
-            run_ms: BTreeMap::new(),
+            mean_run_ms: BTreeMap::new(),
             prefill_ms_per_token: BTreeMap::new(),
             remote_parts: BTreeMap::new(),
         }
     }
 
-    /// Takes over an announcement; false if its data centre is unknown.
+    /// Applies an announcement; returns false if its data centre is unknown.
     pub fn apply_announcement(
         &mut self,
         id: &str,
@@ -263,14 +272,15 @@
         true
     }
 
-    /// Records that the announcement of an endpoint ends at a time.
+    /// Records that the announcement of an endpoint ends at `at_ms`.
     pub fn withdraw(&mut self, id: &str, at_ms: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.withdraw(at_ms);
         }
     }
 
-    /// Forgets endpoints that are not announced and have finished their work.
+    /// Removes endpoints that are no longer announced and have no requests in
+    /// progress from this host.
     pub fn drop_withdrawn(&mut self, now_ms: u64) {
         self.endpoints
             .retain(|_, endpoint| endpoint.is_announced(now_ms) || endpoint.own_load.active > 0);
@@ -278,7 +288,8 @@
 
     /// Stops or resumes the use of a data centre's endpoints.
     ///
-    /// Its endpoints may have gone cold in the meantime without announcing it.
+    /// When use resumes, its endpoints count as cold, because they may have become
+    /// so without announcing it.
     pub fn set_evacuated(
         &mut self,
         data_centre: &str,
@@ -301,22 +312,23 @@
         }
     }
 
-    /// One endpoint.
+    /// Returns an endpoint by its id.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// One endpoint, to be changed.
+    /// Returns an endpoint by its id for changes.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(id)
     }
 
-    /// All endpoints.
+    /// Iterates over all endpoints.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Replaces what the other hosts of the region have at the endpoints.
+    /// Replaces the load that the other hosts of the region place at the endpoints;
+    /// `share_at` returns it for the hash of an endpoint's id.
     pub fn set_peer_loads<F>(&mut self, share_at: F)
     where
         F: Fn(u32) -> LoadShare,
@@ -331,7 +343,7 @@
         endpoints.find(|endpoint| endpoint.hash == hash)
     }
 
-    /// Takes over that another host of the region cannot use an endpoint.
+    /// Applies another host's block of an endpoint.
     pub fn apply_peer_block(&mut self, block: &EndpointBlock, now_ms: u64) {
         if let Some(endpoint) = self.get_by_hash(block.endpoint) {
             endpoint.apply_peer_block(u64::from(block.for_ms), now_ms);
@@ -345,32 +357,35 @@
         }
     }
 
-    /// Learns how long requests of a service run.
+    /// Records how long a request of a service ran.
     pub fn record_run_time(&mut self, service: &str, run_ms: f64) {
-        let known = self.run_ms.entry(service.into()).or_insert(run_ms);
+        let known = self.mean_run_ms.entry(service.into()).or_insert(run_ms);
         *known += RUN_EWMA_WEIGHT * (run_ms - *known);
     }
 
-    /// Learns how long a service's endpoints take to read a prompt token.
+    /// Records the time until a request's first event, from which the prefill time
+    /// per token of a service is estimated.
     ///
-    /// Only requests that dominate their endpoint's backlog tell it.
+    /// Only requests that dominate their endpoint's backlog are used.
     pub fn record_first_event_time(&mut self, service: &str, choice: &Choice, actual_ms: f64) {
         let tokens = choice.work.uncached_tokens as f64;
         let is_significant = tokens > 1_000.0 && choice.backlog_ms < choice.first_event_ms / 4.0;
         if !is_significant {
             return;
         }
-        let observed = ((actual_ms - FIRST_EVENT_MS) / tokens)
-            .clamp(PREFILL_MS_PER_TOKEN / 20.0, PREFILL_MS_PER_TOKEN * 20.0);
+        let observed = ((actual_ms - FIRST_EVENT_MS) / tokens).clamp(
+            INITIAL_PREFILL_MS_PER_TOKEN / 20.0,
+            INITIAL_PREFILL_MS_PER_TOKEN * 20.0,
+        );
         let known = self
             .prefill_ms_per_token
             .entry(service.into())
-            .or_insert(PREFILL_MS_PER_TOKEN);
+            .or_insert(INITIAL_PREFILL_MS_PER_TOKEN);
         *known += PREFILL_EWMA_WEIGHT * (observed - *known);
     }
 
-    /// Endpoints of `service` in this region that may be used, their load and
-    /// coldness aside.
+    /// Returns the endpoints of `service` in this region that may be used, regardless
+    /// of their load and of whether they are cold.
     pub fn usable<'a>(
         &'a self,
         service: &'a str,
@@ -384,7 +399,8 @@
         })
     }
 
-    /// The best endpoint for a request, or none if none may be used now.
+    /// Returns the endpoint with the lowest cost for a request, or none if none may be
+    /// used now.
     pub fn choose(&self, demand: &Demand<'_>, now_ms: u64) -> Option<Choice> {
         let service = demand.service;
         let caches = self.caches(demand, now_ms);
@@ -401,10 +417,10 @@
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
-    /// What a choice costs, in milliseconds.
+    /// Returns the cost of a choice in milliseconds.
     ///
-    /// A wait within a part of the goal costs a caller little, while a prompt
-    /// part that is read again takes time from all requests of the endpoint.
+    /// A wait within a share of the goal costs a caller little, while a prompt part
+    /// that is prefilled again takes time from all requests of the endpoint.
     fn cost(&self, endpoint: &Endpoint, choice: &Choice, demand: &Demand<'_>, now_ms: u64) -> f64 {
         let service = demand.service;
         let slots = slots_of(endpoint, Some(service));
@@ -419,10 +435,11 @@
             + wait_cost(choice.first_event_ms, demand.goal_left_ms)
             + stream_cost(endpoint, choice, demand, prefill_ms_per_token, now_ms)
             + load_ms;
-        cost * (1.0 + ERROR_WEIGHT * endpoint.error_rate())
+        cost * (1.0 + ERROR_RATE_WEIGHT * endpoint.error_rate())
     }
 
-    /// The endpoint that all hosts of the region prefer for a prompt part.
+    /// Returns the endpoint that all hosts of the region prefer for a prompt part
+    /// (rendezvous hashing).
     fn preferred(&self, service: &str, part: u64, now_ms: u64) -> Option<CompactString> {
         self.usable(service, now_ms)
             .max_by_key(|endpoint| xxh3_64_with_seed(endpoint.id.as_bytes(), part))
@@ -443,20 +460,20 @@
         let work = Work::new(demand.call, cached + copied_tokens);
         let load = endpoint.load(now_ms);
         let slots = slots_of(endpoint, Some(service));
-        let run_ms = self.run_ms(service);
+        let run_ms = self.mean_run_ms(service);
         let prefill_ms_per_token = self.prefill_ms_per_token(service, load);
-        let waiting = (load + 1.0 - slots).max(0.0) / slots * run_ms;
+        let wait_ms = (load + 1.0 - slots).max(0.0) / slots * run_ms;
         let backlog_tokens = endpoint.own_load.backlog_tokens + endpoint.peer_load.backlog_tokens;
         let backlog_ms = endpoint.slowness()
-            * (backlog_tokens as f64 * prefill_ms_per_token + waiting)
+            * (backlog_tokens as f64 * prefill_ms_per_token + wait_ms)
             + self.memory_wait_ms(endpoint, service, work, run_ms);
-        let own_ms = match service.engine {
+        let request_ms = match service.engine {
             Some(_) => FIRST_EVENT_MS + work.uncached_tokens as f64 * prefill_ms_per_token,
             None => run_ms,
         };
         Choice {
             endpoint: endpoint.id.clone(),
-            first_event_ms: backlog_ms + endpoint.slowness() * own_ms,
+            first_event_ms: backlog_ms + endpoint.slowness() * request_ms,
             cost_ms: 0.0,
             work,
             copied_tokens,
@@ -469,7 +486,7 @@
         }
     }
 
-    /// Where the start of the prompt is probably cached.
+    /// Estimates where the start of the prompt is cached.
     fn caches(&self, demand: &Demand<'_>, now_ms: u64) -> Caches {
         let service = demand.service;
         let affinity = demand.call.affinity();
@@ -477,7 +494,8 @@
         let memory_tokens = service.engine.map_or(0, |engine| engine.memory_tokens);
         let lifetime_tokens = (memory_tokens as f64 * CACHE_SHARE) as u64;
         let copy_ms = service.engine.and_then(|engine| engine.copy_ms_per_token);
-        let copies = copy_ms.is_some_and(|copy_ms| copy_ms <= PREFILL_MS_PER_TOKEN / 2.0);
+        let is_copy_faster =
+            copy_ms.is_some_and(|copy_ms| copy_ms <= INITIAL_PREFILL_MS_PER_TOKEN / 2.0);
         let mut caches = Caches::default();
         for endpoint in self.usable(&service.name, now_ms) {
             let known = endpoint.cached_tokens(demand.call, lifetime_tokens, u64::MAX);
@@ -487,10 +505,10 @@
                 continue;
             }
             caches.tokens.push((endpoint.id.clone(), tokens));
-            if !copies {
+            if !is_copy_faster {
                 continue;
             }
-            // Only what has been read can be copied.
+            // Only tokens that have been prefilled can be copied.
             let read = endpoint.cached_tokens(demand.call, lifetime_tokens, now_ms);
             let best = caches.source.as_ref().map_or(0, |(_, _, tokens)| *tokens);
             if read > best {
@@ -501,8 +519,8 @@
         caches
     }
 
-    /// Cost of a request in another region, which answers after `first_event_ms`
-    /// if it has to read the whole prompt.
+    /// Returns the cost of a request in another region, where the first event comes
+    /// after `first_event_ms` if the complete prompt has to be prefilled.
     pub fn remote_cost(
         &self,
         region: &str,
@@ -513,7 +531,7 @@
         let call = demand.call;
         let is_known = call.affinity().is_some_and(|part| {
             let sent_ms = self.remote_parts.get(&(region.into(), part));
-            sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + REMOTE_CACHE_MS)
+            sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + REMOTE_CACHE_LIFETIME_MS)
         });
         let cached = if is_known { call.shared_tokens() } else { 0 };
         let uncached_tokens = call.prompt.0.saturating_sub(cached);
@@ -524,18 +542,18 @@
             + wait_cost(first_event_ms, demand.goal_left_ms)
     }
 
-    /// Remembers that a request was sent to another region.
+    /// Remembers the prompt of a request that was forwarded to another region.
     pub fn record_remote_prompt(&mut self, region: &str, call: &Call, now_ms: u64) {
         if self.remote_parts.len() > MAX_REMOTE_PARTS {
             self.remote_parts
-                .retain(|_, sent_ms| now_ms < *sent_ms + REMOTE_CACHE_MS);
+                .retain(|_, sent_ms| now_ms < *sent_ms + REMOTE_CACHE_LIFETIME_MS);
         }
         if let Some(part) = call.affinity() {
             self.remote_parts.insert((region.into(), part), now_ms);
         }
     }
 
-    /// Wait until running requests free enough memory.
+    /// Predicts the wait until running requests free enough engine memory.
     fn memory_wait_ms(
         &self,
         endpoint: &Endpoint,
@@ -547,10 +565,10 @@
             return 0.0;
         };
         let memory = engine.memory_tokens;
-        let held = endpoint.own_load.reserved_tokens
+        let reserved = endpoint.own_load.reserved_tokens
             + endpoint.peer_load.reserved_tokens
             + work.reserved_tokens;
-        let excess = held as f64 / (memory as f64 * MEMORY_SHARE) - 1.0;
+        let excess = reserved as f64 / (memory as f64 * PREEMPTION_MEMORY_SHARE) - 1.0;
         excess.max(0.0) * run_ms
     }
 
@@ -559,23 +577,27 @@
             .prefill_ms_per_token
             .get(&service.name)
             .copied()
-            .unwrap_or(PREFILL_MS_PER_TOKEN);
+            .unwrap_or(INITIAL_PREFILL_MS_PER_TOKEN);
         base * (1.0 + BATCH_SLOWDOWN * load)
     }
 
-    /// Typical time that a request of the service runs.
-    pub fn run_ms(&self, service: &Service) -> f64 {
+    /// Returns the mean time that a request of the service runs.
+    pub fn mean_run_ms(&self, service: &Service) -> f64 {
         let initial = match service.engine {
-            Some(_) => GENERATION_MS,
-            None => CALL_MS,
+            Some(_) => INITIAL_GENERATION_MS,
+            None => INITIAL_CALL_MS,
         };
-        self.run_ms.get(&service.name).copied().unwrap_or(initial)
+        self.mean_run_ms
+            .get(&service.name)
+            .copied()
+            .unwrap_or(initial)
     }
 
-    /// Whether this host may send to the endpoint if it is cold.
+    /// Returns whether the limit on cold endpoints allows this host to send to the
+    /// endpoint.
     ///
-    /// The bound holds for all hosts together. Hosts agree on their shares
-    /// without talking, by the rank that a hash gives them for the endpoint.
+    /// The limit holds for all hosts together. Hosts agree on their shares without
+    /// messages, by their rank in the order of a hash over host and endpoint.
     fn may_send_cold(
         &self,
         endpoint: &Endpoint,
@@ -590,35 +612,35 @@
         endpoint.has_cold_allowance(per_second, now_ms)
     }
 
-    /// Requests a second that this host may send to a cold endpoint.
+    /// Returns the requests a second that this host may send to a cold endpoint.
     fn cold_share(&self, endpoint: &Endpoint, service: &Service, hosts: &[CompactString]) -> u32 {
         if hosts.is_empty() {
             return 0;
         }
         let bound = service.cold_per_s * self.cold.factor + self.cold.slack;
-        // Half of the bound, so that it holds for two groups of hosts that do
-        // not hear each other.
+        // Half of the bound, so that it holds if the hosts are partitioned into
+        // two groups.
         let total = (bound / 2.0).floor() as usize;
-        let rank_of = |host: &CompactString| {
+        let hash_of = |host: &CompactString| {
             xxh3_64_with_seed(
                 host.as_bytes(),
                 xxh3_64_with_seed(endpoint.id.as_bytes(), 0),
             )
         };
-        let own = rank_of(&self.host);
-        let before = hosts
+        let own = hash_of(&self.host);
+        let rank = hosts
             .iter()
-            .filter(|host| **host != self.host && rank_of(host) > own)
+            .filter(|host| **host != self.host && hash_of(host) > own)
             .count();
         let count = hosts.len();
         let even = total / count;
-        let extra = usize::from(before < total % count);
-        (even + extra) as u32
+        let remainder = usize::from(rank < total % count);
+        (even + remainder) as u32
     }
 }
 
 impl Fleet {
-    /// Time until an endpoint begins with a new request.
+    /// Predicts the time until an endpoint begins with a new request.
     pub fn backlog_ms(&self, endpoint: &Endpoint, service: &Service, now_ms: u64) -> f64 {
         let demand = Demand {
             service,
@@ -632,7 +654,7 @@
             .backlog_ms
     }
 
-    /// Time to read a prompt token at an endpoint with the mean load.
+    /// Returns the time to prefill a prompt token at an endpoint with the mean load.
     pub fn mean_prefill_ms_per_token(&self, service: &Service, now_ms: u64) -> f64 {
         let mut count = 0.0;
         let mut load = 0.0;
@@ -643,14 +665,15 @@
         self.prefill_ms_per_token(service, load / f64::max(count, 1.0))
     }
 
-    /// Time that an endpoint spends on a request before it can begin the next.
+    /// Returns the time that an endpoint spends on a request before it can begin
+    /// with the next.
     pub fn service_ms(&self, service: &Service, call: &Call, now_ms: u64) -> f64 {
         match service.engine {
             Some(_) => {
                 FIRST_EVENT_MS
                     + call.prompt.0 as f64 * self.mean_prefill_ms_per_token(service, now_ms)
             }
-            None => self.run_ms(service) / 2.0,
+            None => self.mean_run_ms(service) / 2.0,
         }
     }
 }
