--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,71 +1,72 @@
-//! Whether a request is sent, waits, goes to another region or is refused.
+//! Decides whether a request is sent, queued, forwarded or refused.
 //!
-//! This answers the load at which more prompts arrive than the endpoints of a
-//! region can read. A backlog inside an endpoint can be neither reordered nor
-//! moved, so requests wait here instead, the most urgent first. A request whose
-//! first event would miss its goal is refused when it arrives, with the time at
-//! which the backlog ahead of it will be gone, rather than after a wait that
-//! serves nobody.
+//! This matters when more prompts arrive than the endpoints of a region can
+//! prefill. A backlog inside an endpoint can be neither reordered nor moved, so
+//! requests are queued at the host instead, the most urgent first. A request
+//! whose first event would miss its latency goal is refused on arrival, with the
+//! time after which the backlog ahead of it will be processed, rather than after
+//! a useless wait.
 
 use compact_str::CompactString;
 
 use super::fleet::Choice;
 
-/// Work that may wait inside one endpoint. Enough to keep it busy until this
-/// host has seen an answer and sent the next request.
+/// Largest backlog inside one endpoint. It is enough to keep the endpoint busy
+/// until this host has received a response and sent the next request.
 const MAX_ENDPOINT_BACKLOG_MS: f64 = 500.0;
 /// Cost of a millisecond in the queue of this region. Most requests that wait
-/// there at all are near the part of the goal beyond which waits are costly.
+/// there are close to the share of the goal beyond which waits are costly.
 const QUEUE_WEIGHT: f64 = 2.0;
-/// Shortest time after which a caller is told to return.
+/// Shortest time after which a refused caller is asked to retry.
 const MIN_RETRY_MS: f64 = 150.0;
-/// Callers follow a hint up to this share of the time they have left.
+/// Largest share of its remaining time that a caller waits before it retries.
 const MAX_RETRY_SHARE: f64 = 0.3;
 
-/// What another region offers.
+/// Predicted latency and cost of a request in another region.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RemoteOffer {
     /// The region.
     pub region: CompactString,
-    /// Predicted time until the first event, the way there and back included.
+    /// Predicted time until the first event, including the round trip.
     pub first_event_ms: f64,
-    /// Cost, comparable to that of a choice in this region.
+    /// Cost, comparable to that of an endpoint of this region.
     pub cost_ms: f64,
 }
 
-/// What is known when a request is placed.
+/// Inputs of the decision about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementContext {
-    /// Best endpoint of this region, if any may be used.
+    /// Best endpoint of this region; none if no endpoint may be used.
     pub local: Option<Choice>,
-    /// Time that requests which wait here with the same or a higher rank take.
+    /// Time that the requests queued in this region with the same or a higher rank
+    /// take.
     pub queue_ms: f64,
-    /// Best offer of another region, if the request may go there.
+    /// Best offer of another region; none if the request may not be forwarded.
     pub remote: Option<RemoteOffer>,
-    /// Time left until an answer is late.
+    /// Time left until the response misses its latency goal.
     pub goal_left_ms: f64,
-    /// Whole goal.
+    /// Latency goal, counted from the request's arrival.
     pub goal_ms: f64,
-    /// Time left until the caller or the route gives up.
+    /// Time left until the deadline of the caller or the time limit of the route.
     pub time_left_ms: f64,
-    /// The request has waited here already.
+    /// Whether the request is in this host's queue already.
     pub is_waiting: bool,
 }
 
-/// What happens to a request.
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Placement {
-    /// It goes to an endpoint of this region.
+    /// Send it to an endpoint of this region.
     Send(Choice),
-    /// It waits for an endpoint of this region.
+    /// Queue it for an endpoint of this region.
     Wait,
-    /// It goes to another region.
+    /// Forward it to another region.
     Forward(RemoteOffer),
-    /// It is refused; the caller may come back after so many milliseconds.
+    /// Refuse it; the caller may retry after this time in milliseconds.
     Refuse(u64),
 }
 
-/// Decides what happens to a request now.
+/// Decides what happens to a request at this moment.
 pub fn place(context: PlacementContext) -> Placement {
     let local_ms = context
         .local
@@ -81,14 +82,14 @@
         .local
         .as_ref()
         .is_some_and(|choice| choice.backlog_ms <= MAX_ENDPOINT_BACKLOG_MS);
-    // A request that has waited is the most urgent one when it is asked about.
+    // A queued request is only considered while it is the most urgent one.
     let is_next = context.is_waiting || context.queue_ms <= 0.0;
-    let goes_now = context.local.clone().filter(|choice| {
+    let sendable = context.local.clone().filter(|choice| {
         let is_short =
             choice.work.is_short_prompt() && choice.first_event_ms <= context.goal_left_ms;
         (is_short || (has_room && is_next)) && choice.first_event_ms < context.time_left_ms
     });
-    if let Some(choice) = goes_now {
+    if let Some(choice) = sendable {
         return Placement::Send(choice);
     }
     let is_hopeless = local_ms >= context.time_left_ms;
@@ -116,7 +117,8 @@
     }
 }
 
-/// No endpoint may be used at this moment; one may be free shortly.
+/// Decides about a request while no endpoint may be used; one may become usable
+/// shortly.
 fn without_endpoint(context: PlacementContext) -> Placement {
     let wait_ms = context.goal_ms / 8.0;
     if context.goal_left_ms > context.goal_ms - wait_ms {
