--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,8 +1,8 @@
-//! Requests that wait at this host for an endpoint.
+//! The queue of requests that wait on this host for an endpoint.
 //!
 //! The queue is bounded by the predicted wait: a request that would wait too
-//! long, or past its deadline, is refused at once. Higher tiers leave first, and
-//! within a tier the oldest request.
+//! long, or would miss its deadline, is refused at once. Requests leave by tier,
+//! the highest first, and in order of arrival within a tier.
 
 use std::collections::{
     BTreeMap,
@@ -17,38 +17,39 @@
     Tier, //
 };
 
-/// Slots and run time that a queue drains with.
+/// The rate at which a target's queue drains.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainRate {
-    /// Slots of all endpoints of the target in this region.
+    /// Total slots of the target's endpoints in this region.
     pub slots: f64,
-    /// Hosts of this region that share them.
+    /// Hosts of this region that share the slots.
     pub hosts: usize,
     /// Typical run time, in milliseconds.
     pub run_ms: f64,
 }
 
 impl DrainRate {
-    /// Predicted wait behind `ahead` other requests, in milliseconds.
+    /// Returns the predicted wait behind `ahead` other requests, in milliseconds.
     pub fn wait_ms(&self, ahead: usize) -> f64 {
         let each_ms = self.run_ms * self.hosts as f64 / self.slots.max(1.0);
         (ahead + 1) as f64 * each_ms
     }
 }
 
-/// Whether a request may wait.
+/// Whether a request may join the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It will probably finish in time.
+    /// The request is predicted to finish in time.
     Wait,
-    /// It will not.
+    /// The request is predicted to wait too long or to miss its deadline.
     Refuse {
-        /// When it would be worth coming back.
+        /// When a retry by the caller could succeed.
         retry_after_ms: Millis,
     },
 }
 
-/// Decides on a request that would wait `wait_ms` and then run for `run_ms`.
+/// Decides whether a request may wait that is predicted to wait for `wait_ms` and
+/// then run for `run_ms`, with `remaining_ms` until its deadline.
 pub fn admit(wait_ms: f64, run_ms: f64, remaining_ms: Millis, policy: &Policy) -> Admission {
     let late_ms = wait_ms + run_ms - remaining_ms.0 as f64;
     let beyond_ms = wait_ms - policy.max_queue_wait_ms.0 as f64;
@@ -56,7 +57,7 @@
     if excess_ms <= 0.0 {
         return Admission::Wait;
     }
-    // Coming back earlier than the queue drains would only be refused again.
+    // A retry before the queue has drained enough would be refused again.
     let retry_ms = Millis(excess_ms.min(wait_ms).ceil() as u64);
     Admission::Refuse {
         retry_after_ms: retry_ms.max(policy.retry_after_ms),
@@ -71,36 +72,36 @@
 }
 
 impl WaitQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of all waiting requests.
+    /// Number of waiting requests of all targets.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Waiting requests that leave before a new one of `tier`.
+    /// Number of waiting requests that leave before a new one of `tier`.
     pub fn ahead(&self, target: &Target, tier: Tier) -> usize {
         let tiers = self.waiting.get(target);
         let ahead = tiers.into_iter().flat_map(|tiers| tiers.range(..=tier));
         ahead.map(|(_, requests)| requests.len()).sum()
     }
 
-    /// Adds a request behind those of its tier.
+    /// Adds a request behind the others of its tier.
     pub fn push(&mut self, target: &Target, tier: Tier, request: RequestId) {
         let tiers = self.waiting.entry(target.clone()).or_default();
         tiers.entry(tier).or_default().push_back(request);
         self.len += 1;
     }
 
-    /// The request of a target that leaves next.
+    /// The next request of a target to leave the queue.
     pub fn first(&self, target: &Target) -> Option<RequestId> {
         let tiers = self.waiting.get(target)?;
         tiers
@@ -108,7 +109,7 @@
             .find_map(|requests| requests.front().copied())
     }
 
-    /// Takes out a request, if it waits.
+    /// Removes a request if it is in the queue.
     pub fn remove(&mut self, target: &Target, tier: Tier, request: RequestId) {
         let tiers = self.waiting.get_mut(target);
         let Some(requests) = tiers.and_then(|tiers| tiers.get_mut(&tier)) else {
@@ -119,7 +120,7 @@
         self.len -= before - requests.len();
     }
 
-    /// Targets for which requests wait.
+    /// Targets with waiting requests.
     pub fn targets(&self) -> Vec<Target> {
         let has_any = |tiers: &BTreeMap<Tier, VecDeque<RequestId>>| {
             tiers.values().any(|requests| !requests.is_empty())
--- a/src/decision/arrival.rs
+++ b/src/decision/arrival.rs
@@ -1,4 +1,5 @@
-//! Checks of a new request and the money for it.
+//! Validation of new requests, and reservation of their cost from the caller's
+//! budget.
 
 use super::{
     Gateway,
@@ -86,9 +87,10 @@
         self.start_attempt(now_ms, request, open, actions);
     }
 
-    /// Starts an attempt, for which this host pays if the caller is its own.
+    /// Starts an attempt.
     ///
-    /// For a forwarded request, the host that sent it has set the money aside.
+    /// The host that received the request from its caller reserves the cost, so a
+    /// forwarded request is dispatched without a reservation.
     pub(super) fn start_attempt(
         &mut self,
         now_ms: Millis,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Sets money aside and goes on, or waits for a grant.
+    /// Reserves the cost and dispatches the request, or lets it wait for a grant.
     fn reserve_and_dispatch(
         &mut self,
         now_ms: Millis,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Sets money aside, and asks for a grant if the share is running low.
+    /// Reserves the cost, and requests a grant if the remaining amount is low.
     fn reserve(
         &mut self,
         now_ms: Millis,
@@ -140,7 +142,7 @@
             return Ok(None);
         };
         let Some(intent) = intents.caller(caller) else {
-            // The caller was removed while its request waited.
+            // The caller was removed from the configuration while its request waited.
             return Err(Shortage::Exhausted {
                 retry_after_ms: self.inputs.policy.retry_after_ms,
             });
@@ -169,7 +171,7 @@
         self.open.insert(request, open);
     }
 
-    /// Tries again for all requests of a caller that wait for a grant.
+    /// Retries the reservation for all requests of a caller that wait for a grant.
     pub(super) fn retry_awaiting_grant(
         &mut self,
         now_ms: Millis,
@@ -184,7 +186,7 @@
         }
     }
 
-    /// A refusal after which coming back in a while makes sense.
+    /// Returns a refusal with the default time after which to retry.
     pub(super) fn retryable_refusal(&self, reason: RefusalReason) -> Refusal {
         Refusal::new(reason).with_retry_after(self.inputs.policy.retry_after_ms)
     }
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What follows when an attempt ends.
+//! Accounting and retries when an attempt ends.
 
 use super::{
     Gateway,
@@ -55,14 +55,15 @@
         }
     }
 
-    /// Drops a waiting request whose caller has gone.
+    /// Drops a waiting request whose caller has disconnected.
     fn drop_disconnected(&mut self, request: RequestId) {
         if let Some(open) = self.take_waiting(request) {
             self.close(request, open);
         }
     }
 
-    /// Takes a waiting request out of whatever it waits in.
+    /// Removes a waiting request from the queue or the requests that wait for a
+    /// grant.
     pub(super) fn take_waiting(&mut self, request: RequestId) -> Option<OpenRequest> {
         let open = self.open.remove(&request)?;
         let arrival = &open.arrival;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Ends the accounting of an attempt at its endpoint or region.
+    /// Removes an attempt from the requests in flight at its endpoint or region.
     pub(super) fn clear_in_flight(
         &mut self,
         now_ms: Millis,
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Charges an attempt that did not end after it was cancelled, at the most
-    /// it can have cost.
+    /// Gives up an attempt that did not end in time after it was cancelled, and
+    /// charges the most that it can have cost.
     pub(super) fn abandon_cancelled(&mut self, now_ms: Millis, request: RequestId) {
         let Some(mut open) = self.open.remove(&request) else {
             return;
@@ -211,7 +212,7 @@
             let refusal = Refusal::new(reason).with_retry_after(wait_ms);
             return self.refuse(request, open, refusal, actions);
         }
-        // The next attempt may cost as much as the first one again.
+        // The next attempt may cost as much as the first, and reserves that anew.
         if let Some(left) = open.reservation.take() {
             self.budget.release(left);
         }
--- a/src/decision/budget.rs
+++ b/src/decision/budget.rs
@@ -1,11 +1,11 @@
-//! Spending of each caller from the shares that were granted to this host.
+//! Spending of each caller from the part of its budget granted to this host.
 //!
-//! A request reserves the most it can cost before it is sent, and is charged
-//! what its attempts did cost. What is charged and reserved in a period never
-//! exceeds the grants of that period plus the outage allowance, which one run of
-//! this host may use while no grant can be had. A charge beyond its reservation,
-//! from an endpoint that generated more than it was asked for, counts in full
-//! and is made up for by what is granted next.
+//! Before it is sent, a request reserves the most that an attempt can cost; it is
+//! then charged the actual cost of its attempts. Charges and reservations of a
+//! period never exceed the grants of that period plus the outage allowance, which
+//! one run of this host may use while no grant is available. A charge beyond its
+//! reservation, caused by an endpoint that generated more than requested, counts
+//! in full and reduces what later grants leave available.
 
 use std::collections::BTreeMap;
 
@@ -28,22 +28,24 @@
     }, //
 };
 
-/// Periods kept for requests that started in them, the current one included.
+/// Ledgers kept per caller, including the current period, so that requests are
+/// charged to the period in which they started.
 const RETAINED_PERIODS: usize = 3;
 
-/// What a run of a target costs.
+/// Prices of one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Price {
-    /// A thousand prompt tokens that are not cached.
+    /// Price of a thousand uncached prompt tokens.
     pub prompt_per_ktok: CostMicros,
-    /// A thousand generated tokens.
+    /// Price of a thousand generated tokens.
     pub output_per_ktok: CostMicros,
-    /// One call.
+    /// Price of one call.
     pub per_call: CostMicros,
 }
 
 impl Price {
-    /// The price in force, or `None` if the target has no intent.
+    /// Returns the price in force, or `None` if the configuration does not contain
+    /// the target.
     pub fn new(intents: &Intents, target: &Target) -> Option<Self> {
         match target {
             Target::Model(id) => intents.model(id).map(|model| Self {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// The cost of one run, rounded up.
+    /// Returns the cost of one attempt, rounded up.
     pub fn cost(&self, prompt: Tokens, output: Tokens) -> CostMicros {
         let prompt = self.prompt_per_ktok.0.saturating_mul(prompt.0);
         let output = self.output_per_ktok.0.saturating_mul(output.0);
@@ -67,7 +69,7 @@
     }
 }
 
-/// Money set aside for one request.
+/// An amount reserved for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
     caller: CallerId,
@@ -75,44 +77,46 @@
     amount: CostMicros,
 }
 
-/// Why money could not be set aside.
+/// Why an amount could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortage {
-    /// A grant is on its way.
+    /// A grant has been requested, or is about to be.
     AwaitingGrant,
-    /// Nothing more can be had for now.
+    /// The budget or the outage allowance is used up.
     Exhausted {
-        /// When more may be had.
+        /// When more may become available.
         retry_after_ms: Millis,
     },
 }
 
-/// What one caller has spent through this host in one period.
+/// Spending of one caller through this host in one period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Ledger {
-    /// Granted by the platform's service.
+    /// Amount granted by the platform's service.
     pub granted: CostMicros,
-    /// Taken from the outage allowance.
+    /// Amount taken from the outage allowance.
     pub drawn: CostMicros,
-    /// Charged for attempts.
+    /// Amount charged for attempts.
     pub spent: CostMicros,
-    /// Set aside for requests in progress.
+    /// Amount reserved for requests in progress.
     pub reserved: CostMicros,
 }
 
 impl Ledger {
-    /// What can still be set aside.
+    /// Amount that can still be reserved.
     pub fn available(&self) -> CostMicros {
         self.granted + self.drawn - self.spent - self.reserved
     }
 }
 
-/// Work that was paid for or carried without use to a caller.
+/// Totals of work that did not contribute to an answer, and of traffic between
+/// regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Waste {
-    /// Attempts after the first one of a request.
+    /// Attempts after the first attempt of a request.
     pub retries: u64,
-    /// Tokens generated for callers that had gone, or by broken exchanges.
+    /// Tokens generated for callers that had disconnected, including the most that
+    /// a cancelled attempt that did not end in time can have generated.
     pub cancelled: Tokens,
     /// Bytes sent to and received from other regions.
     pub inter_region_bytes: Bytes,
@@ -122,41 +126,48 @@
 struct Account {
     ledgers: BTreeMap<Millis, Ledger>,
     allowance_used: CostMicros,
-    /// Charges, fading over the time that a grant covers.
+    /// Charges in millionths, decaying exponentially over the time that a grant
+    /// covers.
     demand: f64,
     demand_at_ms: Millis,
     requested_ms: Option<Millis>,
-    /// Largest shortfall of a request that waits for a grant.
+    /// Largest amount that a request was short of since the last answer to a grant
+    /// request.
     shortfall: CostMicros,
     refused_period_ms: Option<Millis>,
     is_unavailable: bool,
 }
 
-/// Spending shares of all callers.
+/// Grants and spending of all callers.
 #[derive(Debug, Default)]
 pub struct Budget {
     accounts: BTreeMap<CallerId, Account>,
 }
 
 impl Budget {
-    /// No grant yet.
+    /// Creates a budget without grants.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Spending of a caller in the period that starts at `period_start_ms`.
+    /// Returns the spending of a caller in the period that starts at
+    /// `period_start_ms`.
     pub fn ledger(&self, caller: &CallerId, period_start_ms: Millis) -> Option<Ledger> {
         let account = self.accounts.get(caller)?;
         account.ledgers.get(&period_start_ms).copied()
     }
 
-    /// What this run of the host has used of a caller's outage allowance.
+    /// Amount of a caller's outage allowance that this run of the host has used.
     pub fn allowance_used(&self, caller: &CallerId) -> CostMicros {
         let account = self.accounts.get(caller);
         account.map_or(CostMicros(0), |account| account.allowance_used)
     }
 
-    /// Sets `amount` aside for a request that starts now.
+    /// Reserves `amount` for a request that starts now.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Shortage`] if neither grants nor the outage allowance cover it.
     pub fn reserve(
         &mut self,
         now_ms: Millis,
@@ -177,7 +188,7 @@
         })
     }
 
-    /// Charges `cost` to a reservation, which shrinks by as much.
+    /// Charges `cost` and reduces the reservation by the same amount.
     pub fn charge(
         &mut self,
         now_ms: Millis,
@@ -197,7 +208,7 @@
         }
     }
 
-    /// Gives back what is left of a reservation.
+    /// Releases the rest of a reservation.
     pub fn release(&mut self, reservation: Reservation) {
         let account = self.accounts.get_mut(&reservation.caller);
         let ledger =
@@ -207,7 +218,8 @@
         }
     }
 
-    /// The amount to ask for now, if the share is running low.
+    /// Returns the amount to request now if the granted amount is running low, and
+    /// records the request.
     pub fn take_grant_request(
         &mut self,
         now_ms: Millis,
@@ -219,7 +231,7 @@
         account.take_grant_request(now_ms, period_start(now_ms, intent), intent, policy)
     }
 
-    /// Adds a grant.
+    /// Adds a grant to a period.
     pub fn granted(&mut self, caller: &CallerId, period_start_ms: Millis, amount: CostMicros) {
         let account = self.accounts.entry(caller.clone()).or_default();
         account.requested_ms = None;
@@ -229,7 +241,7 @@
         ledger.granted = ledger.granted + amount;
     }
 
-    /// Notes that there is nothing left of the budget of a period.
+    /// Records that the budget of a period is used up.
     pub fn refused(&mut self, caller: &CallerId, period_start_ms: Millis) {
         let account = self.accounts.entry(caller.clone()).or_default();
         account.requested_ms = None;
@@ -238,13 +250,13 @@
         account.refused_period_ms = Some(period_start_ms);
     }
 
-    /// Notes that grants cannot be had at the moment.
+    /// Records that grants are unavailable at the moment.
     pub fn unavailable(&mut self, caller: &CallerId) {
         let account = self.accounts.entry(caller.clone()).or_default();
         account.is_unavailable = true;
     }
 
-    /// Forgets refusals, since the budgets may have been raised.
+    /// Clears refusals, since budgets may have been raised.
     pub fn budgets_changed(&mut self) {
         for account in self.accounts.values_mut() {
             account.refused_period_ms = None;
@@ -311,7 +323,7 @@
         self.demand_at_ms = now_ms;
     }
 
-    /// Charges of about the last `grant_cover_ms`.
+    /// Charges of roughly the last `grant_cover_ms`.
     fn decayed_demand(&self, now_ms: Millis, policy: &Policy) -> f64 {
         let elapsed = (now_ms - self.demand_at_ms).0 as f64;
         self.demand * (-elapsed / policy.grant_cover_ms.0.max(1) as f64).exp()
--- a/src/decision/context.rs
+++ b/src/decision/context.rs
@@ -1,4 +1,4 @@
-//! What every choice reads and none changes.
+//! The read-only inputs of every choice.
 
 use super::{
     policy::Policy,
@@ -14,33 +14,33 @@
     RegionId, //
 };
 
-/// What is known at one instant.
+/// The state of the host at one instant.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The instant.
+    /// Current time.
     pub now_ms: Millis,
     /// This host's region.
     pub region: &'a RegionId,
     /// Hosts, endpoints and other regions.
     pub view: &'a View,
-    /// Run times.
+    /// Predicted run times.
     pub predictor: &'a Predictor,
-    /// Parameters.
+    /// Parameters of the decisions.
     pub policy: &'a Policy,
 }
 
 impl<'a> Context<'a> {
-    /// Hosts that share the work of this region, at least one.
+    /// Number of hosts that share the work of this region, at least one.
     pub fn host_count(&self) -> usize {
         self.view.host_count(self.now_ms, self.region, self.policy)
     }
 
-    /// Hosts of this region that take work.
+    /// Hosts of this region that accept new requests.
     pub fn ready_hosts(&self) -> impl Iterator<Item = &'a HostState> {
         self.view.ready_hosts(self.now_ms, self.region, self.policy)
     }
 
-    /// Hosts of another region that take forwarded requests.
+    /// Hosts of another region that accept forwarded requests.
     pub fn forward_hosts(&self, region: &RegionId) -> Vec<&'a ForwardHost> {
         self.view.forward_hosts(self.now_ms, region, self.policy)
     }
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a request somewhere, lets it wait, or refuses it.
+//! Sends a request to an endpoint, forwards it, queues it, or refuses it.
 
 use super::{
     Gateway,
@@ -42,7 +42,8 @@
 }
 
 impl Gateway {
-    /// Decides on a request that is neither open nor queued, and does it.
+    /// Decides what to do with a request that is neither in `open` nor queued, and
+    /// does it.
     pub(super) fn dispatch(
         &mut self,
         now_ms: Millis,
@@ -55,18 +56,19 @@
             Decision::Wait => {
                 let target = open.arrival.target.clone();
                 self.enqueue(request, open);
-                // Those ahead may wait for an endpoint that this one does not
-                // need.
+                // Requests ahead may be waiting for an endpoint that this one does
+                // not need.
                 self.dispatch_queued(now_ms, &target, actions);
             }
             decision => self.execute(now_ms, request, open, decision, actions),
         }
     }
 
-    /// Sends the first waiting requests of a target that find room.
+    /// Dispatches the first queued requests of a target for which an endpoint is
+    /// available.
     ///
-    /// One that waits for an endpoint with its prefix does not hold up those
-    /// behind it.
+    /// A request that waits for an endpoint with its prefix cached does not block
+    /// those behind it.
     pub(super) fn dispatch_queued(
         &mut self,
         now_ms: Millis,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The same for all targets.
+    /// Dispatches queued requests of all targets.
     pub(super) fn dispatch_all_queued(&mut self, now_ms: Millis, actions: &mut Vec<Action>) {
         for target in self.queue.targets() {
             self.dispatch_queued(now_ms, &target, actions);
@@ -140,7 +142,7 @@
             .choose(&context, &query, local, turn, &mut self.rng)
     }
 
-    /// An endpoint that has room and finishes in time.
+    /// Chooses an endpoint that is available and predicted to finish in time.
     fn choose_local(
         &mut self,
         now_ms: Millis,
@@ -285,7 +287,7 @@
         self.open.insert(request, open);
     }
 
-    /// Gives up a request that is not open any more.
+    /// Refuses a request that has been removed from `open`.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
@@ -297,7 +299,8 @@
         actions.push(Action::Refuse { request, refusal });
     }
 
-    /// Gives back what a request that is not open any more still holds.
+    /// Releases the timer and reservation of a request that has been removed from
+    /// `open`.
     pub(super) fn close(&mut self, request: RequestId, open: OpenRequest) {
         self.timers.remove(&(open.arrival.deadline_ms, request));
         if let Some(reservation) = open.reservation {
@@ -306,7 +309,7 @@
     }
 }
 
-/// How the queue of a target drains.
+/// Returns the rate at which the queue of a target drains.
 fn drain_rate(context: &Context<'_>, target: &Target, candidates: &[Candidate]) -> DrainRate {
     DrainRate {
         slots: candidates.iter().map(|one| one.slots).sum(),
--- a/src/decision/endpoint_choice.rs
+++ b/src/decision/endpoint_choice.rs
@@ -1,11 +1,12 @@
-//! Which endpoint of the region gets a request.
+//! The choice of an endpoint within the region.
 //!
-//! Every candidate gets a predicted completion, in which a cached prefix counts
-//! as prefill that is not needed. Candidates that are nearly as good as the best
-//! one are equal: among them a prompt goes to its place by rendezvous hashing on
-//! its prefix, unless that endpoint is loaded beyond a bound, and everything
-//! else to the less loaded of two drawn at random. Many hosts that choose from
-//! the same late report therefore do not all choose the same endpoint.
+//! The completion time is predicted for every candidate; a cached prefix reduces
+//! its prefill. Candidates whose prediction is close to the best one count as
+//! equal. A prompt with a prefix goes to the endpoint among them that has most
+//! of it cached, or else to the one that rendezvous hashing of the prefix
+//! selects, unless that endpoint's load exceeds a bound. Any other request goes
+//! to the less loaded of two equal candidates drawn at random, so that many hosts
+//! that use the same outdated load report do not all choose the same endpoint.
 
 use rand::{
     Rng,
@@ -33,10 +34,10 @@
     Tokens, //
 };
 
-/// What a request asks of an endpoint.
+/// The properties of a request that determine its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointQuery<'a> {
-    /// What it is for.
+    /// The model or service that is requested.
     pub target: &'a Target,
     /// Version that the endpoint must serve; `None` for services.
     pub version: Option<&'a str>,
@@ -46,9 +47,9 @@
     pub prefix_hashes: &'a [u64],
     /// Whether the endpoint must continue a partial answer.
     pub needs_continuation: bool,
-    /// Endpoints that have already failed it.
+    /// Endpoints of its earlier attempts.
     pub tried: &'a [EndpointId],
-    /// Whether it may wait for an endpoint that has its prefix cached.
+    /// Whether the request may wait for an endpoint that has its prefix cached.
     pub may_wait_for_cache: bool,
 }
 
@@ -57,30 +58,30 @@
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Estimated requests there.
+    /// Estimated number of requests at the endpoint.
     pub load: f64,
-    /// Requests that the newest report shows, whatever its age.
+    /// Requests according to the newest report, regardless of its age.
     pub reported_requests: u32,
-    /// Requests that it runs at the same time.
+    /// Requests that the endpoint runs concurrently.
     pub slots: f64,
-    /// Leading blocks of the prompt that it probably has cached.
+    /// Leading blocks of the prompt that are probably cached there.
     pub cached_blocks: usize,
-    /// Predicted run.
+    /// Predicted times of the request at this endpoint.
     pub prediction: Prediction,
 }
 
 impl Candidate {
-    /// Whether one more request would have to wait there.
+    /// Whether one more request would have to wait at the endpoint.
     pub fn is_full(&self) -> bool {
-        // The estimate has fractions; half a request is rounded off.
+        // The estimate is fractional; less than half a free slot counts as none.
         self.load + 0.5 > self.slots
     }
 }
 
-/// Endpoints of a region that could serve a request now.
+/// Returns the endpoints of this region that could serve a request now.
 ///
-/// Those that have failed it, or any request lately, are left out if there are
-/// others.
+/// Endpoints of earlier attempts of the request, and those that recently failed
+/// or refused any request, are excluded if others are available.
 pub fn candidates(context: &Context<'_>, query: &EndpointQuery<'_>) -> Vec<Candidate> {
     let (now_ms, policy) = (context.now_ms, context.policy);
     let view = context.view;
@@ -100,8 +101,8 @@
         .collect()
 }
 
-/// Endpoints that have not failed this request, if any, and of these the ones
-/// that have not failed lately, if any.
+/// Returns the endpoints that the request has not tried, if any, and of these the
+/// ones that have not recently failed or refused a request, if any.
 fn preferred<'a>(
     states: Vec<&'a EndpointState>,
     now_ms: Millis,
@@ -113,7 +114,7 @@
     states.into_iter().filter(is_best).collect()
 }
 
-/// Mean reported load of endpoints for each slot, weighted by report age.
+/// Returns the mean reported load per slot, weighted by the age of the reports.
 pub(super) fn mean_load_per_slot(
     states: &[&EndpointState],
     now_ms: Millis,
@@ -158,7 +159,7 @@
     }
 }
 
-/// The candidate with the earliest predicted completion.
+/// Returns the candidate with the earliest predicted completion.
 pub fn earliest(candidates: &[Candidate]) -> Option<&Candidate> {
     candidates.iter().min_by(|a, b| {
         let a = a.prediction.finish_ms();
@@ -166,10 +167,12 @@
     })
 }
 
-/// Chooses among candidates by the routing policy.
+/// Chooses a candidate by the routing policy.
 ///
-/// Adaptive routing returns `None` when all are full; the baselines send to full
-/// endpoints, which then queue. `turn` counts the choices for `RoundRobin`.
+/// Adaptive routing returns `None` if all candidates are full, or if the request
+/// should wait for one that has its prefix cached. The baselines also choose full
+/// endpoints, which then queue the request. `turn` is the number of choices so
+/// far, for `RoundRobin`.
 pub fn choose<'a, R>(
     candidates: &'a [Candidate],
     query: &EndpointQuery<'_>,
@@ -226,11 +229,12 @@
     less_loaded_of_two(&near, rng)
 }
 
-/// Whether a full endpoint has much more of the prompt cached than all others.
+/// Whether a full endpoint has much more of the prompt cached than all available
+/// ones.
 ///
-/// In a full region every slot that becomes free is somewhere else. Taking the
-/// first one would prefill the whole prompt again and evict other prefixes, and
-/// the lost time keeps the region full.
+/// In a full region, the next free slot is usually at another endpoint. Using it
+/// would prefill the entire prompt again and evict other prefixes, and the
+/// additional work would keep the region full.
 fn is_worth_waiting(candidates: &[Candidate], available: &[&Candidate], policy: &Policy) -> bool {
     let most = candidates.iter().map(|one| one.cached_blocks).max();
     let most_available = available.iter().map(|one| one.cached_blocks).max();
@@ -245,7 +249,8 @@
     available.iter().filter(is_near).copied().collect()
 }
 
-/// The endpoint whose cache the prompt should use.
+/// Returns the endpoint whose cache the prompt should use: the one with the most
+/// blocks cached, or else the one selected by rendezvous hashing.
 fn by_affinity<'a>(
     available: &[&'a Candidate],
     near: &[&'a Candidate],
@@ -269,7 +274,7 @@
     })
 }
 
-/// Load for each slot up to which affinity holds.
+/// Returns the load per slot up to which prefix affinity applies.
 fn load_bound(available: &[&Candidate], policy: &Policy) -> f64 {
     let load: f64 = available.iter().map(|one| one.load).sum();
     let slots: f64 = available.iter().map(|one| one.slots).sum();
--- a/src/decision/endpoint_state.rs
+++ b/src/decision/endpoint_state.rs
@@ -1,9 +1,11 @@
-//! One endpoint: whether it takes new work, and how loaded it is.
+//! The state of one endpoint: whether it accepts new requests, and its estimated
+//! load.
 //!
-//! A report is late by its age and by the time it took to get here. The estimate
-//! therefore adds what this host has sent since, removes what has ended since,
-//! and moves towards the mean of the other endpoints as the report ages, so that
-//! a silent endpoint looks neither idle nor full.
+//! A load report is outdated by its reporting interval and its time in transit.
+//! The estimate therefore adds the requests that this host has sent since,
+//! subtracts those that have ended since, and approaches the mean of all
+//! endpoints as the report ages, so that an endpoint that stops reporting appears
+//! neither idle nor full.
 
 use std::collections::BTreeMap;
 
@@ -25,25 +27,25 @@
     RequestId, //
 };
 
-/// Incarnations remembered, so that their late reports are ignored.
+/// Past incarnations remembered, so that their late reports are ignored.
 const PAST_INCARNATIONS: usize = 4;
 
-/// Ended attempts remembered between two reports.
+/// Maximum number of ended attempts remembered between two reports.
 const ENDED_LIMIT: usize = 256;
 
-/// Doublings of the time for which a failing endpoint is avoided.
+/// Maximum doublings of the time for which a failing endpoint is avoided.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// An endpoint with what is known of its load.
+/// An endpoint with its newest report and this host's requests to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointState {
-    /// What the list says.
+    /// The endpoint's entry in the platform's list.
     pub info: EndpointInfo,
     /// Newest load report.
     pub report: Option<EndpointReport>,
-    /// When it was dropped from the list, unless it is in it.
+    /// When it disappeared from the platform's list; `None` while it is listed.
     pub unlisted_ms: Option<Millis>,
-    /// Prompt prefixes that this host has sent there.
+    /// Prompt prefixes that this host has sent to it.
     pub prefixes: PrefixMemory,
     leaving: Option<LeavingMark>,
     failures: u32,
@@ -53,7 +55,7 @@
     ended: Vec<EndedSend>,
 }
 
-/// That an endpoint leaves, with the run in which it does, if known.
+/// Marks an endpoint as leaving, in the given run if that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LeavingMark {
     incarnation: Option<Incarnation>,
@@ -66,7 +68,7 @@
 }
 
 impl EndpointState {
-    /// An endpoint that the list shows for the first time.
+    /// Creates the state of an endpoint that is newly listed.
     pub fn new(info: EndpointInfo) -> Self {
         let mut state = Self {
             info,
@@ -86,12 +88,12 @@
         state
     }
 
-    /// Requests that this host has in progress there.
+    /// Number of requests of this host in progress at the endpoint.
     pub fn in_flight(&self) -> usize {
         self.sends.len()
     }
 
-    /// Whether it may be given new work.
+    /// Whether it accepts new requests.
     pub fn takes_work(&self) -> bool {
         self.leaving.is_none() && self.unlisted_ms.is_none() && self.info.slots > 0
     }
@@ -101,7 +103,7 @@
         self.leaving.is_some()
     }
 
-    /// Gives it no new work until it reports a new run.
+    /// Marks it as leaving: it gets no new requests until it reports a new run.
     pub fn mark_leaving(&mut self) {
         if self.leaving.is_none() {
             let incarnation = self.report.as_ref().map(|report| report.incarnation);
@@ -109,10 +111,10 @@
         }
     }
 
-    /// Takes over what a newly read list says.
+    /// Applies the endpoint's entry in a newly read list.
     ///
-    /// Only a change to leaving counts: a list that lags would otherwise mark
-    /// the next run of an endpoint too.
+    /// Only a change to leaving marks it as leaving: the list lags and would
+    /// otherwise also mark the endpoint's next run.
     pub fn update_info(&mut self, info: EndpointInfo) {
         let starts_leaving = info.is_leaving && !self.info.is_leaving;
         self.info = info;
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Takes over a report unless a newer one is known.
+    /// Applies a load report unless a newer one is known.
     pub fn apply_report(&mut self, report: EndpointReport) {
         if self.past_incarnations.contains(&report.incarnation) {
             return;
@@ -136,7 +138,7 @@
         if is_newer {
             self.apply_newer(report, is_same_run);
         } else if is_same_run && report.is_leaving {
-            // Leaving is final for a run, however late it is heard.
+            // Leaving is final for a run, even if its report arrives late.
             self.mark_leaving();
         }
     }
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Notes a request sent there.
+    /// Records a request sent to the endpoint and the prefixes of its prompt.
     pub fn note_sent(
         &mut self,
         now_ms: Millis,
@@ -182,7 +184,7 @@
         self.prefixes.note(prefix_hashes, policy.prefix_memory);
     }
 
-    /// Notes that an attempt there has ended.
+    /// Records that an attempt at the endpoint has ended.
     pub fn note_ended(&mut self, now_ms: Millis, request: RequestId, attempt: Attempt) {
         let Some(sent_ms) = self.sends.remove(&(request, attempt)) else {
             return;
@@ -196,11 +198,11 @@
         });
     }
 
-    /// Avoids it for a while that doubles with each failure in a row.
+    /// Avoids the endpoint for a time that doubles with each consecutive failure.
     ///
-    /// An endpoint that has crashed shows no load, and would otherwise attract
-    /// requests until the list drops it. Attempts that fail while it is avoided
-    /// were sent before and say nothing new.
+    /// An endpoint that has crashed reports no load and would otherwise attract
+    /// requests until it disappears from the list. Failures while it is avoided
+    /// are not counted: those attempts were sent before it was avoided.
     pub fn note_failure(&mut self, now_ms: Millis, policy: &Policy) {
         if self.is_avoided(now_ms) {
             return;
@@ -211,25 +213,26 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Avoids it for a short while after it refused a request; it is busy, and
-    /// not broken.
+    /// Avoids the endpoint for a short time after it refused a request: it is busy
+    /// but has not failed.
     pub fn note_rejection(&mut self, now_ms: Millis, policy: &Policy) {
         let until_ms = now_ms + policy.endpoint_avoid_ms;
         self.avoid_until_ms = self.avoid_until_ms.max(until_ms);
     }
 
-    /// Ends the avoidance.
+    /// Resets the failure count and stops avoiding the endpoint.
     pub fn note_success(&mut self) {
         self.failures = 0;
         self.avoid_until_ms = Millis(0);
     }
 
-    /// Whether it has failed lately, so that others come first.
+    /// Whether other endpoints are preferred because it recently failed or refused
+    /// a request.
     pub fn is_avoided(&self, now_ms: Millis) -> bool {
         now_ms < self.avoid_until_ms
     }
 
-    /// Weight of the newest report, from 1 when new to 0 at its bound.
+    /// Weight of the newest report, from 1 when new down to 0 at its maximum age.
     pub fn report_weight(&self, now_ms: Millis, policy: &Policy) -> f64 {
         let Some(report) = self.report.as_ref() else {
             return 0.0;
@@ -239,16 +242,16 @@
         (1.0 - age / bound).max(0.0)
     }
 
-    /// Requests that the newest report shows.
+    /// Running and waiting requests according to the newest report.
     pub fn reported_requests(&self) -> Option<u32> {
         let report = self.report.as_ref()?;
         Some(report.running.saturating_add(report.waiting))
     }
 
-    /// Estimates the requests there now.
+    /// Estimates the number of requests at the endpoint now.
     ///
-    /// `prior` is the load of a typical endpoint of the same size, and `hosts`
-    /// the number of hosts that share it.
+    /// `prior` is the load of an average endpoint of the same size, and `hosts` is
+    /// the number of hosts that share the endpoint.
     pub fn load(&self, now_ms: Millis, prior: f64, hosts: usize, policy: &Policy) -> f64 {
         let weight = self.report_weight(now_ms, policy);
         let measured_ms = self.report.as_ref().map(|report| report.measured_ms);
--- a/src/decision/entry.rs
+++ b/src/decision/entry.rs
@@ -1,8 +1,8 @@
-//! Which entry hosts a caller should use.
+//! The hosts to which a caller should send its requests.
 //!
-//! Each caller has its own order of hosts by rendezvous hashing, so a host that
-//! goes moves only its own callers, and a caller keeps using the same hosts,
-//! which know the prefixes of its prompts.
+//! Rendezvous hashing orders the hosts differently for each caller. Removing a
+//! host therefore affects only the callers that used it, and a caller keeps using
+//! the same hosts, which know where the prefixes of its prompts are cached.
 
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     RegionId, //
 };
 
-/// Hosts below which the list is asked for again soon.
+/// A list with fewer hosts is valid only for a short time.
 const SHORT_LIST: usize = 2;
 
 /// A host that callers may use.
@@ -32,24 +32,26 @@
 pub struct EntryHost {
     /// The host.
     pub host: HostId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Its address for callers.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Whether others should come first.
+    /// Whether the host has many more requests than others of its region, which
+    /// are then listed first.
     pub is_overloaded: bool,
 }
 
-/// Hosts for a caller, the best one first.
+/// Entry hosts of a caller, in order of preference.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryList {
-    /// The hosts in the order in which to try them.
+    /// Hosts in the order in which to try them.
     pub hosts: Vec<EntryHost>,
-    /// How long to use this list.
+    /// How long the caller should use this list.
     pub use_ms: Millis,
 }
 
-/// Live hosts of this region, and those that other regions name.
+/// Returns the ready hosts of this region and those in the summaries of other
+/// regions.
 pub fn known_hosts(
     view: &View,
     now_ms: Millis,
@@ -79,9 +81,9 @@
 
 /// Orders the hosts of the allowed regions for a caller.
 ///
-/// Hosts of the home region come first, then those of the other regions in the
-/// order of the intent. Within a region, hosts that are not overloaded come
-/// first, in the caller's own order.
+/// The caller's home region comes first, then the other regions in the order of
+/// its intent. Within a region, hosts that are not overloaded come first, in the
+/// order of the caller's rendezvous hashes.
 pub fn entry_hosts(
     caller: &CallerId,
     home: &RegionId,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out.
+//! The events that decisions are based on and the actions that result.
 
 use std::{
     net::SocketAddr,
@@ -42,43 +42,43 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Origin {
-    /// A caller of this host.
+    /// A caller sent it to this host.
     Caller,
-    /// Another host, which makes this host the last one.
+    /// Another host forwarded it; it is not forwarded again.
     Host {
-        /// Region of the other host.
+        /// Region of the forwarding host.
         region: RegionId,
-        /// The other host.
+        /// The forwarding host.
         host: HostId,
-        /// Regions that the other host computed.
+        /// Allowed regions as computed by the forwarding host.
         allowed: AllowedRegions,
     },
 }
 
-/// A request as the decisions see it.
+/// A request with the properties that decisions depend on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Identifies the request at every host.
+    /// Identifies the request on every host.
     pub request: RequestId,
-    /// Whose request it is.
+    /// The client account that the request belongs to.
     pub caller: CallerId,
-    /// What it is for.
+    /// The model or service that is requested.
     pub target: Target,
     /// Scheduling class.
     pub tier: Tier,
     /// Estimated prompt length.
     pub prompt: Tokens,
-    /// Most tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_output: Tokens,
-    /// Hashes of the prompt's leading blocks, each covering all before it.
+    /// Hashes of the prompt's leading blocks; each covers all preceding blocks.
     pub prefix_hashes: Vec<u64>,
     /// Length of the request body.
     pub body: Bytes,
-    /// Instant by which the whole answer is due.
+    /// Time by which the complete answer is due.
     pub deadline_ms: Millis,
-    /// Whether the call may run more than once.
+    /// Whether it is safe to run the call more than once.
     pub is_repeatable: bool,
-    /// Whether only an endpoint that continues a partial answer can serve it.
+    /// Whether it must be served by an endpoint that can continue a partial answer.
     pub needs_continuation: bool,
     /// Where it came from.
     pub origin: Origin,
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// The whole answer was passed on.
+    /// The complete answer was passed on.
     Complete {
         /// Generated tokens.
         output: Tokens,
@@ -97,19 +97,19 @@
     },
     /// No byte of the request was sent.
     NotSent,
-    /// The endpoint or host refused before it ran the request.
+    /// The endpoint or host refused the request before running it.
     Rejected {
-        /// When it asked to come back.
+        /// Time after which it suggested a retry.
         retry_after_ms: Option<Millis>,
-        /// Whether it said that it is leaving.
+        /// Whether it refused because it is leaving.
         is_leaving: bool,
     },
-    /// The exchange broke after the request was sent.
+    /// The exchange failed after the request was sent.
     Interrupted {
         /// Tokens that the caller has already received.
         delivered: Tokens,
     },
-    /// The exchange broke after part of an answer that cannot be continued.
+    /// The exchange failed after part of an answer that cannot be continued.
     Truncated {
         /// Tokens that the caller has already received.
         delivered: Tokens,
@@ -119,18 +119,18 @@
         /// HTTP status of the answer.
         status: u16,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerDisconnected {
-        /// Tokens that were generated for nothing.
+        /// Tokens generated before the attempt was cancelled.
         wasted: Tokens,
     },
 }
 
-/// Something that happened.
+/// An input of the decisions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A request came in; ignored while another one with its id is open.
+    /// A request arrived. Ignored while another request with its id is open.
     Arrived(Arrival),
     /// The first token of an attempt was passed on.
     FirstToken {
@@ -139,7 +139,7 @@
         /// The attempt.
         attempt: Attempt,
     },
-    /// An attempt ended, or the caller of a waiting request went away.
+    /// An attempt ended, or the caller of a waiting request disconnected.
     Ended {
         /// The request.
         request: RequestId,
@@ -148,11 +148,11 @@
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// A host said that it lives, or that it is leaving.
+    /// A host reported that it is alive or leaving.
     Heartbeat(Heartbeat),
-    /// An endpoint reported its load, directly or through another host.
+    /// An endpoint's load report arrived, directly or through another host.
     Report(EndpointReport),
-    /// A region was summed up by one of its hosts.
+    /// A host of a region sent the region's summary.
     Summary(RegionSummary),
     /// The platform's list of endpoints and hosts was read.
     Listed {
@@ -163,9 +163,9 @@
     },
     /// A configuration came into force.
     InForce(Arc<Intents>),
-    /// A spending share was granted.
+    /// Part of a caller's budget was granted to this host.
     Granted {
-        /// Whose budget.
+        /// Caller whose budget it is.
         caller: CallerId,
         /// Start of the budget period.
         period_start_ms: Millis,
@@ -174,27 +174,28 @@
     },
     /// The platform's service refused a grant because the budget is used up.
     GrantRefused {
-        /// Whose budget.
+        /// Caller whose budget it is.
         caller: CallerId,
         /// Start of the budget period.
         period_start_ms: Millis,
     },
-    /// The platform's service could not be reached for a grant.
+    /// The platform's service was unreachable for a grant.
     GrantUnavailable {
-        /// Whose budget.
+        /// Caller whose budget it is.
         caller: CallerId,
     },
     /// This host is shutting down.
     Leaving,
-    /// Time passed; at least every 100 ms.
+    /// Periodic check of deadlines and timers, at least every 100 ms.
     Tick,
 }
 
-/// Why a request is given up.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The caller's intent does not name the target.
+    /// The caller or the target is not configured, or the caller may not use the
+    /// target.
     UnknownTarget,
     /// This region is outside the caller's residency.
     WrongRegion,
@@ -214,17 +215,17 @@
     NotReady,
 }
 
-/// A final answer without a result.
+/// A final answer that the request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// How long to wait before coming back, if that makes sense.
+    /// Time to wait before a retry, or `None` if a retry cannot succeed.
     pub retry_after_ms: Option<Millis>,
 }
 
 impl Refusal {
-    /// A refusal after which coming back makes no sense.
+    /// Creates a refusal that suggests no retry.
     pub fn new(reason: RefusalReason) -> Self {
         Self {
             reason,
@@ -232,14 +233,14 @@
         }
     }
 
-    /// The same refusal with a time to come back.
+    /// Adds a time to wait before a retry.
     pub fn with_retry_after(mut self, wait_ms: Millis) -> Self {
         self.retry_after_ms = Some(wait_ms);
         self
     }
 }
 
-/// Something to do.
+/// An output of the decisions, for the surrounding threads to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -262,38 +263,38 @@
         attempt: Attempt,
         /// The host.
         host: HostId,
-        /// Its address for hosts.
+        /// Its address for other hosts.
         address: SocketAddr,
         /// Its region.
         region: RegionId,
         /// Regions that may see the request.
         allowed: AllowedRegions,
     },
-    /// Give the caller its final answer.
+    /// Refuse the request, as its final answer.
     Refuse {
         /// The request.
         request: RequestId,
-        /// What to say.
+        /// Reason, and time to wait before a retry.
         refusal: Refusal,
     },
-    /// Stop an attempt, whose end is then still to be told.
+    /// Cancel an attempt. Its [`Event::Ended`] must still follow.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: Attempt,
     },
-    /// Ask the platform's service for a spending share.
+    /// Request part of a caller's budget from the platform's service.
     RequestGrant {
-        /// Whose budget.
+        /// Caller whose budget it is.
         caller: CallerId,
-        /// How much.
+        /// Requested amount.
         amount_micros: CostMicros,
     },
 }
 
 impl Action {
-    /// The request that the action is for, if any.
+    /// Returns the request that the action concerns, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Self::Send { request, .. }
--- a/src/decision/forwarding.rs
+++ b/src/decision/forwarding.rs
@@ -1,4 +1,4 @@
-//! What this host has sent to other regions lately.
+//! Requests that this host has recently forwarded to other regions.
 
 use std::collections::{
     BTreeMap,
@@ -20,32 +20,33 @@
     Target, //
 };
 
-/// Absorbs rounding where a share of exactly 1 is allowed.
+/// Tolerance for rounding errors when the cap is exactly 1.
 const ROUNDING: f64 = 1e-6;
 
-/// Recent requests for a target and those sent away, both fading.
+/// Exponentially decaying counts of a target's requests and of those forwarded.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ForwardHistory {
     requests: f64,
     forwarded: f64,
     updated_ms: Millis,
-    /// Whether the last request was better off in another region.
+    /// Whether another region was the better choice for the last request.
     pub prefers_remote: bool,
 }
 
 impl ForwardHistory {
-    /// Counts a request of a caller.
+    /// Counts a request received from a caller.
     pub fn note_request(&mut self, now_ms: Millis, policy: &Policy) {
         self.decay(now_ms, policy);
         self.requests += 1.0;
     }
 
-    /// Counts a request that was sent away.
+    /// Counts a forwarded request.
     pub fn note_forward(&mut self) {
         self.forwarded += 1.0;
     }
 
-    /// Whether one more request may be sent away under a cap.
+    /// Whether one more request may be forwarded without exceeding the cap, in
+    /// thousandths of recent requests.
     pub fn allows_forward(&self, cap_permille: u16) -> bool {
         self.forwarded + 1.0 <= self.requests * fraction(cap_permille) + ROUNDING
     }
@@ -59,7 +60,7 @@
     }
 }
 
-/// The way to another region and what this host has put on it.
+/// A link to another region and the traffic that this host has sent over it.
 #[derive(Debug)]
 pub struct LinkState {
     /// The link.
@@ -69,7 +70,7 @@
 }
 
 impl LinkState {
-    /// An unused link.
+    /// Creates the state of an unused link.
     pub fn new(link: RegionLink) -> Self {
         Self {
             link,
@@ -78,17 +79,17 @@
         }
     }
 
-    /// Time until `body` has been sent, behind what was sent before, when
-    /// `hosts` share the link.
+    /// Returns the time until `body` has been transmitted, after earlier bodies and
+    /// with the bandwidth shared by `hosts` hosts, in milliseconds.
     pub fn send_ms(&self, now_ms: Millis, body: Bytes, hosts: usize, policy: &Policy) -> f64 {
         let backlog_ms = (self.busy_until_ms - now_ms.0 as f64).max(0.0);
         let rate = self.link.rate.0 as f64 * fraction(policy.link_permille) / hosts.max(1) as f64;
-        // A Mbit/s is a thousand bits in a millisecond.
+        // 1 Mbit/s is 1,000 bits per millisecond.
         let own_ms = body.0 as f64 * 8.0 / (rate * 1_000.0).max(f64::MIN_POSITIVE);
         backlog_ms + own_ms
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn note_sent(
         &mut self,
         now_ms: Millis,
@@ -103,14 +104,15 @@
         in_flight.insert(request, now_ms);
     }
 
-    /// Notes that a request has ended.
+    /// Records that a request has ended.
     pub fn note_ended(&mut self, target: &Target, request: RequestId) {
         if let Some(in_flight) = self.in_flight.get_mut(target) {
             in_flight.remove(&request);
         }
     }
 
-    /// Requests in progress that a summary heard at `received_ms` cannot show.
+    /// Number of requests in progress that a summary received at `received_ms`
+    /// cannot include yet.
     pub fn unreported(&self, target: &Target, received_ms: Millis) -> usize {
         let round_trip_ms = Millis(self.link.latency_ms.0 * 2);
         let in_flight = self.in_flight.get(target);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,9 +1,11 @@
-//! The decisions of one host, as a plain library.
+//! Admission, routing, retries and spending of one host, as a deterministic state
+//! machine without I/O.
 //!
 //! [`Gateway::handle`] takes an event with an explicit time and appends actions.
 //! It opens no socket, starts no thread, reads no clock and draws its random
-//! numbers from a seeded generator, so the same seed and events always give the
-//! same actions. The threads around it only carry events in and actions out.
+//! numbers from a seeded generator, so the same seed and events always produce
+//! the same actions. The surrounding threads deliver the events and carry out
+//! the actions.
 
 pub mod admission;
 mod arrival;
@@ -84,33 +86,33 @@
     }, //
 };
 
-/// The way to another region.
+/// The network link to another region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegionLink {
     /// The other region.
     pub region: RegionId,
     /// One-way latency.
     pub latency_ms: Millis,
-    /// Rate of the link, shared by all traffic.
+    /// Bandwidth of the link, shared by all traffic.
     pub rate: MbitPerSecond,
 }
 
-/// What the decisions know of their own host.
+/// Identity, links and random seed of the local host.
 #[derive(Debug, Clone)]
 pub struct GatewayConfig {
     /// This host.
     pub host: HostId,
-    /// Its current run.
+    /// Its current run, which a restart changes.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
     /// Links to the other regions.
     pub links: Vec<RegionLink>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What this host knows and only events change.
+/// The state that choices read and only events change.
 #[derive(Debug)]
 struct Inputs {
     region: RegionId,
@@ -131,8 +133,9 @@
         }
     }
 
-    /// The version that endpoints of a target must serve, `Some(None)` for a
-    /// service, or `None` if the target is no longer in force.
+    /// Returns the version that endpoints of a target must serve: `Some(None)` for
+    /// a service, which has no version, and `None` if the configuration in force
+    /// no longer contains the target.
     fn version(&self, target: &Target) -> Option<Option<CompactString>> {
         match target {
             Target::Service(_) => Some(None),
@@ -146,11 +149,14 @@
 
 /// The decision state of one host.
 ///
-/// The threads around it keep three promises. A request id is not reused while
-/// the request is open; a second arrival under it is ignored. Each attempt sent
-/// or forwarded ends with one [`Event::Ended`], also after an
-/// [`Action::Cancel`]. And a [`Event::Tick`] comes at least every 100 ms, since
-/// deadlines and delayed retries are looked at only then.
+/// The surrounding threads must ensure three things:
+///
+/// - A request id is not reused while the request is open; a second arrival with
+///   the same id is ignored.
+/// - Each attempt that was sent or forwarded ends with exactly one
+///   [`Event::Ended`], also after an [`Action::Cancel`].
+/// - An [`Event::Tick`] follows at least every 100 ms, since deadlines and
+///   delayed retries are checked only then.
 #[derive(Debug)]
 pub struct Gateway {
     config: GatewayConfig,
@@ -160,21 +166,22 @@
     retries: RetryBudget,
     queue: WaitQueue,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// When to look at a request again; entries may be out of date.
+    /// When to check a request again. Entries may be stale: a request can change
+    /// phase before its timer is due.
     timers: BTreeSet<(Millis, RequestId)>,
-    /// Requests that wait for a grant, by caller, oldest first.
+    /// Requests that wait for a budget grant, by caller, oldest first.
     awaiting_grant: BTreeMap<CallerId, Vec<RequestId>>,
     waste: Waste,
     is_leaving: bool,
-    /// Counts choices of a region, for the baseline that takes turns.
+    /// Counts region choices, for round-robin routing.
     region_turn: usize,
-    /// Counts choices of an endpoint, for the same.
+    /// Counts endpoint choices, for round-robin routing.
     endpoint_turn: usize,
     rng: Pcg64Mcg,
 }
 
 impl Gateway {
-    /// A host that knows nothing yet, with the default policy.
+    /// Creates the state of a host without configuration, with the default policy.
     pub fn new(config: GatewayConfig) -> Self {
         let policy = Policy::default();
         Self {
@@ -201,39 +208,39 @@
         }
     }
 
-    /// The same host with other parameters.
+    /// Replaces the policy and refills the retry budget.
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.retries = RetryBudget::new(&policy);
         self.inputs.policy = policy;
         self
     }
 
-    /// Its settings.
+    /// Identity, links and random seed of the host.
     pub fn config(&self) -> &GatewayConfig {
         &self.config
     }
 
-    /// Its parameters.
+    /// Parameters of the decisions.
     pub fn policy(&self) -> &Policy {
         &self.inputs.policy
     }
 
-    /// What this host knows of the others.
+    /// Endpoints, other hosts and other regions as this host knows them.
     pub fn view(&self) -> &View {
         &self.inputs.view
     }
 
-    /// The configuration in force here.
+    /// The configuration in force on this host.
     pub fn intents(&self) -> Option<&Arc<Intents>> {
         self.inputs.intents.as_ref()
     }
 
-    /// Requests in progress at this host, waiting ones included.
+    /// Number of requests in progress on this host, including waiting ones.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Requests that wait here for an endpoint.
+    /// Number of requests that wait on this host for an endpoint.
     pub fn waiting_requests(&self) -> usize {
         self.queue.len()
     }
@@ -243,21 +250,23 @@
         &self.budget
     }
 
-    /// Work paid for or carried without use.
+    /// Work that did not contribute to an answer, and traffic between regions.
     pub fn waste(&self) -> Waste {
         self.waste
     }
 
-    /// The summary of this region for the others, or `None` without a configuration.
+    /// Returns the summary of this region for other regions, or `None` without a
+    /// configuration.
     ///
-    /// This host is part of it if its own heartbeats are fed to it as events.
+    /// It includes this host if the host's own heartbeats are delivered as events.
     pub fn region_summary(&self, now_ms: Millis) -> Option<RegionSummary> {
         let intents = self.inputs.intents.as_ref()?;
         let context = self.inputs.context(now_ms);
         Some(region_summary(&context, intents))
     }
 
-    /// Entry hosts for a caller, or `None` if no intent names it.
+    /// Returns the entry hosts for a caller, or `None` if the configuration does
+    /// not contain the caller.
     pub fn entry_list(&self, now_ms: Millis, caller: &CallerId) -> Option<EntryList> {
         let intents = self.inputs.intents.as_ref()?;
         let intent = intents.caller(caller)?;
@@ -267,7 +276,7 @@
         Some(entry_hosts(caller, &intent.home, &allowed, &hosts, policy))
     }
 
-    /// Takes one event and appends what has to be done.
+    /// Processes one event and appends the actions that follow from it.
     pub fn handle(&mut self, now_ms: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.on_arrival(now_ms, arrival, actions),
