--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,8 +1,8 @@
-//! What hosts say to each other over TCP.
+//! Frames that hosts exchange over TCP.
 //!
-//! An exchange is one request frame with its body and a sequence of answer
-//! frames, of which exactly one is final. Bytes that need no decoding travel
-//! beside the frame, in pieces of at most 1 MiB.
+//! An exchange is one request frame with its body and a sequence of response
+//! frames, of which exactly one is final. Each frame may carry a payload of opaque
+//! bytes, at most 1 MiB.
 
 use compact_str::CompactString;
 use serde::{
@@ -30,12 +30,12 @@
     }, //
 };
 
-/// Most bytes that travel beside one frame.
+/// Largest payload of one frame.
 pub const MAX_PAYLOAD_BYTES: usize = 1024 * 1024;
-/// Longest body of a request frame, over all its pieces.
+/// Largest body of a request, over all its frames.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// A header field of a forwarded request or its answer.
+/// A header field of a forwarded request or its response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
     /// Name in lower case.
@@ -49,27 +49,27 @@
 pub struct ForwardHead {
     /// Identifies the request at every host.
     pub request: RequestId,
-    /// Whose request it is.
+    /// Caller that sent the request.
     pub caller: CallerId,
-    /// What it is for.
+    /// Model or service that the request is for.
     pub target: Target,
     /// Scheduling class.
     pub tier: Tier,
     /// Estimated prompt length.
     pub prompt_tokens: Tokens,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: Tokens,
     /// Hashes of the prompt's leading blocks, each covering all before it.
     pub prefix_hashes: Vec<u64>,
-    /// Instant by which the whole answer is due.
+    /// Instant by which the complete response is due.
     pub deadline_ms: Millis,
-    /// Whether the call may run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
     /// Region of the host that accepted it.
     pub origin_region: RegionId,
     /// Host that accepted it; must be the sender of this frame.
     pub origin_host: HostId,
-    /// Regions that may see the request.
+    /// Regions that may process the request.
     pub allowed: AllowedRegions,
     /// HTTP method.
     pub method: CompactString,
@@ -77,17 +77,17 @@
     pub path: CompactString,
     /// Header fields that the endpoint needs.
     pub headers: Vec<Field>,
-    /// Whether the answer is a stream of server-sent events.
+    /// Whether the response is a stream of server-sent events.
     pub is_stream: bool,
     /// Length of the body that follows in [`Frame::RequestBody`] frames.
     pub body_bytes: Bytes,
 }
 
-/// One frame.
+/// A request frame, a part of a request or response, or a final response frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Frame {
-    /// Request: serve a caller of another region.
+    /// Request: serve a request that the sender accepted from a caller.
     Forward(ForwardHead),
     /// Request: run the call of a ticket that the receiver issued.
     TicketCall {
@@ -96,14 +96,14 @@
         /// The call.
         head: ForwardHead,
     },
-    /// Request: the state of a ticket that the receiver issued.
+    /// Request: the status of a ticket that the receiver issued.
     GetTicketStatus {
         /// The ticket.
         ticket: CompactString,
         /// The caller that presented it.
         caller: CallerId,
     },
-    /// Request: void a ticket that has not started.
+    /// Request: cancel a ticket whose call has not started.
     CancelTicket {
         /// The ticket.
         ticket: CompactString,
@@ -120,60 +120,62 @@
         /// Revision that the sender has in force.
         revision: Revision,
     },
-    /// Request: the receiver's service-level burn.
+    /// Request: the receiver's SLO burn rates.
     GetBurnReport,
     /// Request: an acknowledgement.
     Ping,
-    /// Bytes of a request's body.
+    /// Part of a request body.
     RequestBody,
-    /// The sender no longer wants the answer.
+    /// Cancellation: the sender no longer needs the response.
     Cancel,
-    /// Answer: status and fields.
+    /// Response: status and header fields.
     ResponseHead {
         /// HTTP status.
         status: u16,
         /// Header fields.
         headers: Vec<Field>,
     },
-    /// Answer: bytes of the body, or of a long final answer.
+    /// Response: part of the body, or of the payload of a final frame that exceeds
+    /// [`MAX_PAYLOAD_BYTES`].
     ResponseBody,
-    /// Final answer: the whole body was sent.
+    /// Final response: the body is complete.
     ResponseEnd {
         /// Generated tokens.
         output_tokens: Tokens,
         /// Prompt tokens that the endpoint had cached.
         cached_tokens: Tokens,
     },
-    /// Final answer: the request was given up before any part of its answer.
+    /// Final response: the request failed before any part of its response was sent.
     Refused {
-        /// Why, and when to come back.
+        /// Reason, and when to retry.
         refusal: Refusal,
-        /// Whether it ran.
+        /// Whether the request ran.
         run_state: RunStateWord,
     },
-    /// Final answer: the answer broke off.
+    /// Final response: the response was cut off.
     Aborted {
-        /// Whether it ran.
+        /// Whether the request ran.
         run_state: RunStateWord,
-        /// Tokens that were sent before.
+        /// Tokens that were sent before the cut.
         delivered_tokens: Tokens,
     },
-    /// Final answer: changes, or the whole configuration, beside the frame.
+    /// Final response: configuration changes, or the complete configuration, as
+    /// payload.
     Changes,
-    /// Final answer: the state of a ticket, beside the frame.
+    /// Final response: the status of a ticket as payload.
     TicketStatus,
-    /// Final answer: a burn report, beside the frame.
+    /// Final response: a burn report as payload.
     BurnReport,
-    /// Final answer: done.
+    /// Final response: an acknowledgement.
     Ack,
-    /// Request: the endpoint list as the receiver knows it.
+    /// Request: the receiver's list of endpoints.
     GetEndpoints,
-    /// Final answer: an endpoint list, beside the frame.
+    /// Final response: an endpoint list as payload.
     EndpointList,
 }
 
 impl Frame {
-    /// Length of the body that follows a request frame.
+    /// Returns the length of the body that follows a request frame.
     pub fn body_bytes(&self) -> Bytes {
         match self {
             Self::Forward(head) | Self::TicketCall { head, .. } => head.body_bytes,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Host that a request claims to come from, if it names one.
+    /// Returns the host that a request claims as its origin, if it names one.
     pub fn origin_host(&self) -> Option<&HostId> {
         match self {
             Self::Forward(head) | Self::TicketCall { head, .. } => Some(&head.origin_host),
@@ -222,11 +224,11 @@
     }
 }
 
-/// A frame with the bytes beside it.
+/// A frame with its payload.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The frame.
     pub frame: Frame,
-    /// Bytes beside it.
+    /// Opaque bytes that follow the frame.
     pub payload: Vec<u8>,
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -2,14 +2,15 @@
 //!
 //! A datagram is a version byte, a `postcard` body and a 16-byte truncated
 //! HMAC-SHA256 over both under the cluster key. The tag is checked before the
-//! body is decoded, so only bytes written by a holder of the key reach the
-//! decoder.
+//! body is decoded, so only bytes written by a holder of the key are
+//! decoded.
 //!
-//! A sender numbers the datagrams of one run from 1 and stamps each with its
-//! clock. Incarnations are random, so the stamps order the runs of one host.
-//! A receiver remembers a window of sequence numbers for each host and keeps it
-//! twice as long as the oldest accepted stamp. A datagram is therefore either
-//! remembered or too old, and a replay is refused in both cases.
+//! A sender numbers the datagrams of one incarnation (one run of its process)
+//! from 1 and adds a timestamp of its clock to each. Incarnations are random, so
+//! the timestamps order the incarnations of one host. A receiver keeps a window of
+//! sequence numbers for each host, twice as long as the largest accepted age of a
+//! timestamp. A replayed datagram is therefore either in the window or too old,
+//! and is refused in both cases.
 
 use std::{
     collections::HashMap,
@@ -48,17 +49,18 @@
 
 /// Version of the datagram format.
 pub const WIRE_VERSION: u8 = 1;
-/// Longest datagram; fits the smallest common path MTU with tunnel headers.
+/// Largest datagram; fits the smallest common path MTU with tunnel headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Length of a truncated tag.
+/// Length of a truncated authentication tag.
 pub const TAG_BYTES: usize = 16;
-/// Largest accepted difference between a stamp and the local clock.
+/// Largest accepted difference between a timestamp and the local clock.
 pub const MAX_CLOCK_SKEW_MS: Millis = Millis(300_000);
-/// How long the replay window of a silent host is kept.
+/// How long the replay window of a host is kept after its last datagram.
 const REPLAY_WINDOW_TTL_MS: Millis = Millis(2 * MAX_CLOCK_SKEW_MS.0);
-/// Most hosts with a replay window; above the 3,700 hosts of the design size.
+/// Maximum number of replay windows, one for each host; above the 3,700 hosts that
+/// the system is designed for.
 pub const MAX_REPLAY_WINDOWS: usize = 8_192;
-/// How far behind the newest sequence number a datagram may arrive.
+/// How far behind the highest sequence number a datagram may be.
 const REPLAY_WINDOW_SEQUENCES: u64 = 128;
 
 type HmacSha256 = Hmac<Sha256>;
@@ -69,7 +71,7 @@
 /// Why a datagram was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The datagram is longer than any that hosts send.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("datagram of {bytes} bytes is too long: expected at most {MAX_DATAGRAM_BYTES}")]
     TooLong {
         /// Its length.
@@ -81,13 +83,13 @@
         /// The version byte.
         version: u8,
     },
-    /// The tag does not match; the sender has another key or bytes changed.
+    /// The tag does not match; the sender uses another key or bytes were altered.
     #[error("datagram tag does not match the cluster key")]
     BadTag,
-    /// The bytes are authentic but not a valid body.
+    /// The datagram is too short, or authentic with an invalid body.
     #[error("datagram body is malformed")]
     Malformed,
-    /// The sequence number was seen before or is older than the window.
+    /// The sequence number was received before or is older than the window.
     #[error("datagram {sequence} of host {sender} is a replay or too far behind")]
     Replayed {
         /// The host that wrote it.
@@ -95,20 +97,22 @@
         /// Its sequence number.
         sequence: u64,
     },
-    /// A newer run of the host has been heard.
-    #[error("datagram comes from the former run {incarnation} of host {sender}")]
+    /// A datagram of a newer incarnation of the host was received before.
+    #[error("datagram comes from the previous incarnation {incarnation} of host {sender}")]
     OldIncarnation {
         /// The host that wrote it.
         sender: HostId,
-        /// Its former run.
+        /// Its previous incarnation.
         incarnation: Incarnation,
     },
-    /// The stamp is too far from the local clock.
-    #[error("datagram of host {sender} is stamped {sent_ms}, too far from the local clock")]
+    /// The timestamp is too far from the local clock.
+    #[error(
+        "datagram of host {sender} has timestamp {sent_ms}: expected within {MAX_CLOCK_SKEW_MS} of the local clock"
+    )]
     ClockSkew {
         /// The host that wrote it.
         sender: HostId,
-        /// Its stamp.
+        /// Its timestamp.
         sent_ms: Millis,
     },
 }
@@ -129,12 +133,12 @@
         Self(Sha256::digest(secret).into())
     }
 
-    /// A key for one purpose, bound to `parts`.
+    /// Derives a subkey for one purpose, bound to `parts`.
     pub fn derive(&self, purpose: &str, parts: &[&[u8]]) -> Self {
         Self(self.mac(&length_prefixed(purpose, parts)))
     }
 
-    /// The truncated tag of the concatenated parts.
+    /// Returns the truncated tag of the concatenated parts.
     pub fn tag(&self, parts: &[&[u8]]) -> Tag {
         let full = self.mac(parts);
         let mut tag = [0; TAG_BYTES];
@@ -142,7 +146,7 @@
         tag
     }
 
-    /// Compares a tag with the expected one in constant time.
+    /// Whether `tag` is the tag of the concatenated parts; compares in constant time.
     pub fn is_valid_tag(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         self.tag(parts)[..].ct_eq(tag).into()
     }
@@ -170,125 +174,126 @@
     .collect()
 }
 
-/// A fact that hosts pass on in full.
+/// A record with all its fields, as hosts relay it unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FullRecord {
-    /// What a host reports about itself.
+    /// State that a host reports about itself.
     Heartbeat(Heartbeat),
-    /// Report of an endpoint.
+    /// Load and state of an endpoint.
     Report(EndpointReport),
     /// Capacity and revision of one region.
     Summary(RegionSummary),
 }
 
-/// Short name of a host or endpoint run that the receiver knows in full.
+/// Four-byte hash that identifies a host, endpoint or region in compact records;
+/// the receiver needs the full record to resolve it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShortId(pub [u8; 4]);
 
-/// Unit of the short instants in a datagram; 64 of them fit one byte.
+/// Resolution of ages in compact records; ages below 64 ticks encode as one byte.
 pub const TICK_MS: Millis = Millis(100);
 
-/// The last tick at or before an instant.
+/// Rounds an instant down to a tick.
 pub fn tick_floor(instant_ms: Millis) -> Millis {
     Millis(instant_ms.0 / TICK_MS.0 * TICK_MS.0)
 }
 
-/// How many ticks `instant_ms` lies below `timestamp_ms`.
+/// Returns how many ticks `instant_ms` lies before `timestamp_ms`; negative if after.
 pub fn ticks_behind(timestamp_ms: Millis, instant_ms: Millis) -> i64 {
     let timestamp = timestamp_ms.0 / TICK_MS.0;
     timestamp.wrapping_sub(instant_ms.0 / TICK_MS.0) as i64
 }
 
-/// The instant that lies `ticks` below `timestamp_ms`.
+/// Returns the instant that lies `ticks` before `timestamp_ms`.
 pub fn ticks_before(timestamp_ms: Millis, ticks: i64) -> Millis {
     let timestamp = timestamp_ms.0 / TICK_MS.0;
     let tick = timestamp.saturating_add_signed(ticks.saturating_neg());
     Millis(tick.saturating_mul(TICK_MS.0))
 }
 
-/// Newest short heartbeat of a host, without its unchanged description.
+/// Newest heartbeat of a host, reduced to the fields that change often.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactHeartbeat {
-    /// The host's run.
+    /// Identifies the host and its incarnation.
     pub id: ShortId,
-    /// Heartbeat sequence, in ticks below the datagram's stamp.
+    /// Heartbeat sequence, in ticks before the datagram's timestamp.
     pub age_ticks: i64,
-    /// Revision in force there, as the distance below the sender's.
+    /// Revision in force there, as the difference below the sender's.
     pub revision_lag: i64,
     /// Requests in progress there.
     pub open_requests: u32,
 }
 
-/// Newest load of an endpoint, without its unchanged description.
+/// Newest report of an endpoint, reduced to its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactReport {
-    /// The endpoint's run.
+    /// Identifies the endpoint and its incarnation.
     pub id: ShortId,
-    /// When it was measured, in ticks below the datagram's stamp.
+    /// When it was measured, in ticks before the datagram's timestamp.
     pub age_ticks: i64,
-    /// Requests that it runs.
+    /// Requests that the endpoint runs.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests that are queued in the endpoint.
     pub waiting: u32,
-    /// Used share of its cache, in thousandths.
+    /// Used share of its KV cache, in thousandths.
     pub cache_permille: u16,
 }
 
-/// Newest state of a region, without its unchanged description.
+/// Newest summary of a region, reduced to the fields that change often.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactSummary {
-    /// The region with its targets, slots and hosts.
+    /// Identifies the region with its targets, slots and hosts.
     pub id: ShortId,
-    /// When it was made, in ticks below the datagram's stamp.
+    /// When the summary was made, in ticks before the datagram's timestamp.
     pub age_ticks: i64,
-    /// Lowest revision there, as the distance below the sender's own.
+    /// Lowest revision there, as the difference below the sender's own.
     pub revision_lag: i64,
-    /// Requests that its endpoints run or hold, in the order of its targets.
+    /// Requests that its endpoints run or queue, in the order of its targets.
     pub busy: Vec<u32>,
 }
 
-/// What one datagram says.
+/// Content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DatagramBody {
     /// Revision that the sender has in force.
     pub revision: Revision,
-    /// Facts in full.
+    /// Full records.
     pub full_records: Vec<FullRecord>,
-    /// Short heartbeats of hosts in the sender's region.
+    /// Compact heartbeats of hosts in the sender's region.
     pub heartbeats: Vec<CompactHeartbeat>,
-    /// Loads of endpoints in the sender's region.
+    /// Compact reports of endpoints in the sender's region.
     pub reports: Vec<CompactReport>,
-    /// States of regions.
+    /// Compact summaries of regions.
     pub summaries: Vec<CompactSummary>,
-    /// Short names that the sender asks the receiver to spell out.
+    /// Short identifiers of the full records that the sender requests.
     pub requested_ids: Vec<ShortId>,
 }
 
-/// Who wrote a datagram, and when.
+/// Sender and time of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DatagramHeader {
-    /// The host.
+    /// The host that wrote it.
     pub sender: HostId,
-    /// Its current run.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Counts the datagrams of this run from 1.
+    /// Counts the datagrams of this incarnation from 1.
     pub sequence: u64,
-    /// The sender's clock.
+    /// When it was sent, by the sender's clock.
     pub sent_ms: Millis,
 }
 
 /// An authenticated datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who wrote it.
+    /// Sender and time.
     pub header: DatagramHeader,
-    /// What it says.
+    /// Content.
     pub body: DatagramBody,
 }
 
-/// Writes the datagrams of one run.
+/// Encodes and tags the datagrams of one incarnation.
 #[derive(Debug)]
 pub struct DatagramEncoder {
     key: ClusterKey,
@@ -296,7 +301,7 @@
 }
 
 impl DatagramEncoder {
-    /// Starts at sequence number 1.
+    /// Creates an encoder that starts at sequence number 1.
     pub fn new(key: &ClusterKey, sender: HostId, incarnation: Incarnation) -> Self {
         Self {
             key: datagram_key(key),
@@ -309,7 +314,7 @@
         }
     }
 
-    /// Room for a body in one datagram.
+    /// Returns the largest size of a body that fits the next datagram.
     pub fn max_body_bytes(&self, now_ms: Millis) -> usize {
         let next = DatagramHeader {
             sequence: self.header.sequence + 1,
@@ -321,6 +326,8 @@
     }
 
     /// Encodes and tags one datagram.
+    ///
+    /// Fails if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&mut self, now_ms: Millis, body: DatagramBody) -> Result<Vec<u8>, WireError> {
         self.header.sequence += 1;
         self.header.sent_ms = now_ms;
@@ -343,29 +350,29 @@
     key.derive("cardamombridge datagram", &[])
 }
 
-/// How many datagrams were accepted, or refused for which reason.
+/// Numbers of accepted datagrams, and of refused ones by reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WireCounts {
     /// Accepted.
     pub accepted: u64,
-    /// Longer than any that hosts send.
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     pub too_long: u64,
-    /// Of another version.
+    /// With another format version.
     pub bad_version: u64,
     /// With a tag that does not match.
     pub bad_tag: u64,
-    /// Authentic, but with an invalid body.
+    /// Too short, or authentic with an invalid body.
     pub malformed: u64,
-    /// Seen before or too far behind.
+    /// Received before, or with a sequence number below the window.
     pub replayed: u64,
-    /// From a former run of the host.
+    /// From a previous incarnation of the host.
     pub old_incarnation: u64,
-    /// Stamped too far from the local clock.
+    /// With a timestamp too far from the local clock.
     pub clock_skew: u64,
 }
 
 impl WireCounts {
-    /// All datagrams that were looked at.
+    /// All datagrams, accepted or refused.
     pub fn total(&self) -> u64 {
         self.accepted + self.refused()
     }
@@ -391,12 +398,12 @@
     }
 }
 
-/// Sequence numbers seen of one host's newest run.
+/// Sequence numbers received from the newest incarnation of one host.
 #[derive(Debug)]
 struct ReplayWindow {
     incarnation: Incarnation,
     highest_sequence: u64,
-    /// Bit `n` is set if `highest_sequence - n` was seen.
+    /// Bit `n` is set if `highest_sequence - n` was received.
     seen_bits: u128,
     newest_sent_ms: Millis,
     last_received_ms: Millis,
@@ -413,7 +420,8 @@
         }
     }
 
-    /// Records a sequence number; false if it was seen or is too far behind.
+    /// Records a sequence number; returns false if it was received before or is too
+    /// far behind.
     fn accept_sequence(&mut self, sequence: u64) -> bool {
         if sequence > self.highest_sequence {
             let ahead = sequence - self.highest_sequence;
@@ -435,7 +443,7 @@
     }
 }
 
-/// Checks and decodes datagrams of other hosts.
+/// Authenticates and decodes datagrams of other hosts.
 #[derive(Debug)]
 pub struct DatagramDecoder {
     key: ClusterKey,
@@ -446,7 +454,8 @@
 }
 
 impl DatagramDecoder {
-    /// Has heard nobody yet; datagrams written by `own` are refused.
+    /// Creates a decoder without replay windows; datagrams that `own_host` sent are
+    /// refused.
     pub fn new(key: &ClusterKey, own_host: HostId) -> Self {
         Self {
             key: datagram_key(key),
@@ -457,23 +466,23 @@
         }
     }
 
-    /// The same with another bound on remembered hosts.
+    /// Sets the maximum number of replay windows.
     pub fn with_max_windows(mut self, max_windows: usize) -> Self {
         self.max_windows = max_windows;
         self
     }
 
-    /// What was accepted and refused so far.
+    /// Returns the numbers of accepted and refused datagrams so far.
     pub fn counts(&self) -> WireCounts {
         self.counts
     }
 
-    /// Hosts with a replay window.
+    /// Returns the number of hosts with a replay window.
     pub fn window_count(&self) -> usize {
         self.windows.len()
     }
 
-    /// Checks, decodes and counts one datagram.
+    /// Authenticates, decodes and counts one datagram, and refuses replays.
     pub fn decode(&mut self, now_ms: Millis, bytes: &[u8]) -> Result<Datagram, WireError> {
         let result = self
             .verify_and_decode(bytes)
