--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -62,12 +62,12 @@
     /// Fails if the chunked coding is malformed.
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         match self {
-            Self::Length(left) => {
-                let take = usize::try_from(*left)
+            Self::Length(remaining) => {
+                let take = usize::try_from(*remaining)
                     .unwrap_or(usize::MAX)
                     .min(input.len());
                 out.extend_from_slice(&input[..take]);
-                *left -= take as u64;
+                *remaining -= take as u64;
                 Ok(take)
             }
             Self::Chunked(decoder) => decoder.decode(input, out),
@@ -81,7 +81,7 @@
     /// Returns whether the body has been decoded completely.
     pub fn is_done(&self) -> bool {
         match self {
-            Self::Length(left) => *left == 0,
+            Self::Length(remaining) => *remaining == 0,
             Self::Chunked(decoder) => decoder.state == ChunkState::Done,
             Self::UntilClose => false,
         }
@@ -92,14 +92,14 @@
     fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         let mut at = 0;
         while at < input.len() && self.state != ChunkState::Done {
-            if let ChunkState::Data(left) = self.state {
+            if let ChunkState::Data(remaining) = self.state {
                 let rest = input.len() - at;
-                let take = usize::try_from(left).unwrap_or(usize::MAX).min(rest);
+                let take = usize::try_from(remaining).unwrap_or(usize::MAX).min(rest);
                 out.extend_from_slice(&input[at..at + take]);
                 at += take;
-                self.state = match left - take as u64 {
+                self.state = match remaining - take as u64 {
                     0 => ChunkState::DataEnd,
-                    left => ChunkState::Data(left),
+                    remaining => ChunkState::Data(remaining),
                 };
                 continue;
             }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -123,7 +123,7 @@
     },
 }
 
-/// One sending of a request to an endpoint or to another region.
+/// One dispatch of a request to an endpoint or to another region.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     /// Endpoint or region that it was sent to.
--- a/src/gateway/head.rs
+++ b/src/gateway/head.rs
@@ -113,7 +113,7 @@
 impl RequestHead {
     /// Returns the value of a header field, if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// Returns the path without the query.
@@ -130,11 +130,11 @@
 impl ResponseHead {
     /// Returns the value of a header field, if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
-fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     headers.iter().find(|header| header.is(name))?.text()
 }
 
@@ -161,7 +161,7 @@
         target: parsed.path.unwrap_or_default().into(),
         framing: body_framing(&headers)?.unwrap_or(Framing::Length(0)),
         is_keep_alive: is_keep_alive(&headers, version),
-        expects_continue: find(&headers, "expect")
+        expects_continue: find_header(&headers, "expect")
             .is_some_and(|value| value.eq_ignore_ascii_case("100-continue")),
         headers,
     };
@@ -263,7 +263,7 @@
 }
 
 fn is_keep_alive(headers: &[Header], version: u8) -> bool {
-    let says = |token: &str| {
+    let has_option = |token: &str| {
         headers
             .iter()
             .filter(|header| header.is("connection"))
@@ -272,7 +272,7 @@
             .any(|word| word.trim().eq_ignore_ascii_case(token))
     };
     if version == 0 {
-        return says("keep-alive");
+        return has_option("keep-alive");
     }
-    !says("close")
+    !has_option("close")
 }
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -86,9 +86,9 @@
 /// Maximum interval between timer checks while requests are in progress.
 const BUSY_TICK: Duration = Duration::from_millis(15);
 /// Maximum interval between timer checks otherwise.
-const QUIET_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK: Duration = Duration::from_millis(100);
 /// Interval at which connections are checked for timeouts.
-const SWEEP_MS: u64 = 250;
+const SWEEP_INTERVAL_MS: u64 = 250;
 /// Minimum time between the stop signal and the end of the process, in which
 /// callers with a cached directory response still reach the host.
 const MIN_SHUTDOWN_MS: u64 = 4_200;
@@ -96,8 +96,8 @@
 /// tolerates the failure of requests that arrive up to three seconds after the
 /// signal, and callers have queried the directory again by then.
 const REFUSE_AFTER_MS: u64 = 2_700;
-/// Time before the platform kills the process at which it exits by itself.
-const END_BEFORE_KILL_MS: u64 = 500;
+/// Time before the forced end of the process at which it exits by itself.
+const EXIT_BEFORE_KILL_MS: u64 = 500;
 
 /// How the reactor ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -116,7 +116,7 @@
     pub(super) upstreams: Slab<UpstreamConnection>,
     pub(super) exchanges: Slab<Exchange>,
     /// Keys of idle upstream connections by address, the most recently used last.
-    pub(super) idle: HashMap<SocketAddr, Vec<usize>>,
+    pub(super) idle_upstreams: HashMap<SocketAddr, Vec<usize>>,
     /// Keys of the exchanges that wait for an endpoint.
     pub(super) waiting: Vec<usize>,
     pub(super) settings: GatewaySettings,
@@ -125,9 +125,10 @@
     pub(super) hosts: Hosts,
     /// View of this region from `hosts`, updated together with the peer loads.
     pub(super) region_view: RegionView,
-    pub(super) budget: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) telemetry: Telemetry,
     pub(super) random: Pcg64Mcg,
+    /// Moving average of the round trip to each other region.
     pub(super) round_trip_ms: BTreeMap<CompactString, f64>,
     pub(super) started: Instant,
     pub(super) instance_started_ms: u64,
@@ -208,11 +209,11 @@
             inbound: Slab::new(),
             upstreams: Slab::new(),
             exchanges: Slab::new(),
-            idle: HashMap::new(),
+            idle_upstreams: HashMap::new(),
             waiting: Vec::new(),
             hosts: Hosts::new(settings.host.clone()),
             region_view: RegionView::default(),
-            budget: RetryBudget::new(settings.retry),
+            retry_budget: RetryBudget::new(settings.retry),
             settings,
             configuration: None,
             fleet,
@@ -282,7 +283,7 @@
         let mut events = Events::with_capacity(256);
         loop {
             let timeout = if self.exchanges.is_empty() {
-                QUIET_TICK
+                IDLE_TICK
             } else {
                 BUSY_TICK
             };
@@ -383,7 +384,7 @@
         self.serve_waiting(now_ms);
         self.send_load_update(now_ms);
         if now_ms >= self.next_sweep_ms {
-            self.next_sweep_ms = now_ms + SWEEP_MS;
+            self.next_sweep_ms = now_ms + SWEEP_INTERVAL_MS;
             self.sweep(now_ms);
         }
     }
@@ -392,7 +393,7 @@
     fn sweep(&mut self, now_ms: u64) {
         self.sweep_inbound(now_ms);
         self.fleet.drop_withdrawn(now_ms);
-        let stale: Vec<usize> = self
+        let expired: Vec<usize> = self
             .upstreams
             .iter()
             .filter(|(_, upstream)| {
@@ -400,7 +401,7 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for key in stale {
+        for key in expired {
             self.close_upstream(key);
         }
         let host_count = self.region_view.host_count as u64;
@@ -416,7 +417,7 @@
     fn exit_if_done(&self) -> Option<ReactorExit> {
         let started_ms = self.shutdown_started_ms?;
         let now_ms = self.now_ms();
-        let is_forced = now_ms + END_BEFORE_KILL_MS >= started_ms + self.settings.shutdown_ms;
+        let is_forced = now_ms + EXIT_BEFORE_KILL_MS >= started_ms + self.settings.shutdown_ms;
         let is_idle = self.exchanges.is_empty()
             && self
                 .upstreams
@@ -429,12 +430,12 @@
     }
 
     /// Returns a random number in `0.0..1.0`.
-    pub(super) fn draw(&mut self) -> f64 {
+    pub(super) fn random_fraction(&mut self) -> f64 {
         self.random.random()
     }
 
     /// Returns a random index below `count`.
-    pub(super) fn draw_index(&mut self, count: usize) -> usize {
+    pub(super) fn random_index(&mut self, count: usize) -> usize {
         (self.random.next_u64() % count.max(1) as u64) as usize
     }
 }
--- a/src/gateway/serve_caller.rs
+++ b/src/gateway/serve_caller.rs
@@ -173,9 +173,9 @@
             None => {
                 let host = head.header("host").unwrap_or_default();
                 let configured = configuration.route(host, head.path());
-                let draw = self.draw();
+                let fraction = self.random_fraction();
                 let resolved = configured.and_then(|route| {
-                    let service = route.pick_service(draw)?;
+                    let service = route.pick_service(fraction)?;
                     Some(ResolvedRoute::new(route, service.clone()))
                 });
                 let Some(route) = resolved else {
--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -109,7 +109,7 @@
         }
         let service = exchange.route.service.clone();
         let attempt = exchange.request.metadata.attempt_id.clone();
-        let is_allowed = self.budget.try_take(&service, hosts, now_ms);
+        let is_allowed = self.retry_budget.try_take(&service, hosts, now_ms);
         tracing::info!(request = %attempt, cause, is_allowed, "retry decided");
         if is_allowed {
             self.telemetry.count_retry();
@@ -300,7 +300,7 @@
             return;
         };
         let service = exchange.route.service.clone();
-        if !self.budget.try_take(&service, hosts, now_ms) {
+        if !self.retry_budget.try_take(&service, hosts, now_ms) {
             return;
         }
         let exchange = &mut self.exchanges[key];
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -50,7 +50,7 @@
             .metadata
             .time_limit_ms
             .unwrap_or(DEFAULT_TIME_LIMIT_MS);
-        self.budget.record_request(&route.service, now_ms);
+        self.retry_budget.record_request(&route.service, now_ms);
         self.next_serial += 1;
         let exchange = Exchange {
             serial: self.next_serial,
@@ -280,7 +280,7 @@
             .filter(|host| host.region == region)
             .cloned()
             .collect();
-        let index = self.draw_index(hosts.len());
+        let index = self.random_index(hosts.len());
         hosts.get(index).cloned()
     }
 
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -304,7 +304,7 @@
                 let tries_left =
                     self.exchanges[key].excluded_endpoints.len() < MAX_EXCLUDED_ENDPOINTS;
                 let hosts = self.hosts.live_count(now_ms);
-                if tries_left && self.budget.try_take(&service, hosts, now_ms) {
+                if tries_left && self.retry_budget.try_take(&service, hosts, now_ms) {
                     return self.place_exchange(key);
                 }
                 self.refuse(key, "endpoint full", retry_ms);
--- a/src/gateway/serve_upstream.rs
+++ b/src/gateway/serve_upstream.rs
@@ -274,7 +274,7 @@
             upstream.idle_deadline_ms = now_ms + idle_ms;
             upstream.socket.shrink();
             let address = upstream.address;
-            let idle = self.idle.entry(address).or_default();
+            let idle = self.idle_upstreams.entry(address).or_default();
             idle.push(key);
             if idle.len() > MAX_IDLE_PER_ADDRESS {
                 let oldest = idle[0];
@@ -294,7 +294,7 @@
         address: std::net::SocketAddr,
         now_ms: u64,
     ) -> Option<usize> {
-        let idle = self.idle.get_mut(&address)?;
+        let idle = self.idle_upstreams.get_mut(&address)?;
         while let Some(key) = idle.pop() {
             let is_usable = self
                 .upstreams
@@ -317,10 +317,10 @@
         };
         // Closing the socket deregisters it in any case.
         let _ = self.poll.registry().deregister(&mut upstream.socket.stream);
-        if let Some(idle) = self.idle.get_mut(&upstream.address) {
+        if let Some(idle) = self.idle_upstreams.get_mut(&upstream.address) {
             idle.retain(|other| *other != key);
             if idle.is_empty() {
-                self.idle.remove(&upstream.address);
+                self.idle_upstreams.remove(&upstream.address);
             }
         }
     }
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -230,7 +230,7 @@
         if self.is_synchronised || self.settings.seeds.is_empty() || now_ms < SEED_DELAY_MS {
             return;
         }
-        let index = self.draw_index(self.settings.seeds.len());
+        let index = self.random_index(self.settings.seeds.len());
         let seed = self.settings.seeds[index];
         if seed != self.settings.host.peer_address {
             self.ask(seed, now_ms);
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -122,24 +122,24 @@
 impl EndpointHeaders {
     /// Appends the headers to a request head in `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let mut line = |name: &str, value: &str| {
+        let mut write_header = |name: &str, value: &str| {
             out.extend_from_slice(name.as_bytes());
             out.extend_from_slice(b": ");
             out.extend_from_slice(value.as_bytes());
             out.extend_from_slice(b"\r\n");
         };
-        line("X-Deadline-Ms", &self.time_left_ms.to_string());
+        write_header("X-Deadline-Ms", &self.time_left_ms.to_string());
         if let Some(endpoint) = &self.endpoint {
-            line(EXPECTED_ENDPOINT, endpoint);
+            write_header(EXPECTED_ENDPOINT, endpoint);
         }
         if let Some(priority) = self.priority {
-            line(PRIORITY, &priority.min(MAX_PRIORITY).to_string());
+            write_header(PRIORITY, &priority.min(MAX_PRIORITY).to_string());
         }
         if let Some(address) = &self.fetch_from {
-            line(FETCH_FROM, &address.to_string());
+            write_header(FETCH_FROM, &address.to_string());
         }
         if let Some(event) = &self.last_event_id {
-            line("Last-Event-Id", event);
+            write_header("Last-Event-Id", event);
         }
     }
 }
