--- a/src/decision/policy.rs
+++ b/src/decision/policy.rs
@@ -1,8 +1,9 @@
-//! Every number that steers the decisions, with its unit and default.
+//! All parameters of the decisions, with units and defaults.
 //!
 //! The speeds describe a typical replica of a mid-size model. They only have to
 //! be right relative to each other: the queue wait is learned from attempts
-//! that have ended, see [`Predictor`](super::predict::Predictor).
+//! that have ended, see [`Predictor`](super::predict::Predictor). Parameters named
+//! `away_*` control the forwarding of requests to other regions.
 
 use std::{
     fmt,
@@ -25,35 +26,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
-    /// Prediction, prefix affinity and bounded load.
+    /// Predicted completion, prefix affinity and bounded load.
     #[default]
     Adaptive,
-    /// Baseline: any allowed region by its slots, then any endpoint in it.
+    /// Baseline: a random allowed region, weighted by slots, then a random endpoint
+    /// in it.
     Random,
-    /// Baseline: allowed regions in turn, then their endpoints in turn.
+    /// Baseline: round robin over the allowed regions, then over their endpoints.
     RoundRobin,
     /// Baseline: the region, then the endpoint, with the lowest reported load.
     LeastReported,
-    /// Baseline: as `Adaptive`, but never in another region.
+    /// Baseline: like `Adaptive`, but never forwards to another region.
     HomeOnly,
 }
 
 impl Routing {
-    /// Whether predictions decide; the other baselines never queue or look at
-    /// deadlines before they send.
+    /// Whether choices are based on predictions. Other routing neither queues
+    /// requests nor checks predictions against deadlines before it sends.
     pub fn is_predictive(self) -> bool {
         matches!(self, Self::Adaptive | Self::HomeOnly)
     }
 }
 
-/// What an installation weighs most.
+/// What an installation optimises for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Weight {
-    /// A request goes to another region only if home cannot serve it in time,
-    /// since it starts there with a cold cache.
+    /// A request is forwarded to another region only if the local region cannot
+    /// serve it in time, since its prefix is not cached there.
     Cost,
-    /// A request also goes to another region that finishes it earlier.
+    /// A request is also forwarded to a region that finishes it earlier.
     #[default]
     Latency,
 }
@@ -88,118 +90,127 @@
 
     /// Prompt tokens that one endpoint prefills per second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens in a batch of none, in microseconds.
+    /// Time between two tokens without the part that each request of the batch
+    /// adds, in microseconds.
     pub decode_base_us: u32,
-    /// Time that each request of a batch adds to it, in microseconds.
+    /// Time between two tokens that each request of the batch adds, in
+    /// microseconds.
     pub decode_per_request_us: u32,
-    /// Run time of a service call before one has been seen.
+    /// Initial estimate of a service's run time.
     pub service_call_ms: Millis,
-    /// Answer length of a model before one has been seen.
+    /// Initial estimate of a model's answer length.
     pub output: Tokens,
-    /// Weight of the newest sample in the learned averages, in thousandths.
+    /// Weight of the newest sample in the moving averages, in thousandths.
     pub learn_permille: u16,
     /// Prompt tokens that each prefix hash covers beyond the one before it.
     pub prefix_block: Tokens,
     /// Prefix hashes remembered for each endpoint; 512 take about 20 KiB.
     pub prefix_memory: usize,
-    /// Leading blocks that decide the endpoint of a prompt nobody has cached.
-    /// Turns of a conversation share these; deeper blocks differ by turn.
+    /// Leading blocks whose hash selects the endpoint of a prompt that is cached
+    /// nowhere. Turns of a conversation share them; later blocks differ by turn.
     pub affinity_blocks: usize,
-    /// Longest wait for a full endpoint that has the prompt cached.
+    /// Longest wait for a full endpoint that has the prefix cached.
     pub affinity_wait_ms: Millis,
-    /// Cached blocks that it must have beyond all endpoints with room.
+    /// Minimum number of blocks that a full endpoint must have cached beyond any
+    /// available one for a request to wait for it.
     pub affinity_wait_blocks: usize,
 
-    /// Age at which a load report has lost all weight.
+    /// Age at which a load report has no weight any more.
     pub report_max_age_ms: Millis,
-    /// Sends that each other host of the region is assumed to have made for
-    /// each send of this host since a report, in thousandths. At 500 and eight
-    /// hosts, one request of a conversation drove the next to a cold cache.
+    /// Requests that each other host of the region is assumed to have sent to an
+    /// endpoint for each request of this host since a report, in thousandths. At
+    /// 500 with eight hosts, one request of a conversation raised the estimated
+    /// load so much that the next one went to an endpoint with a cold cache.
     pub peer_send_permille: u16,
-    /// Endpoints whose predicted completion is this much later than the best
-    /// one, in thousandths of it, count as equal.
+    /// Endpoints whose predicted completion exceeds the best one by at most this
+    /// share of it, in thousandths, count as equal.
     pub near_equal_permille: u16,
-    /// The least difference that counts, so that short calls spread too.
+    /// Smallest difference in predicted completion that is significant, so that
+    /// short calls are spread too.
     pub near_equal_ms: Millis,
-    /// Load relative to the mean up to which affinity holds, in thousandths.
+    /// Load up to which prefix affinity applies, in thousandths of the mean.
     pub bounded_load_permille: u16,
-    /// Requests beyond that bound up to which affinity holds, without which an
-    /// idle region would have none.
+    /// Requests beyond that bound up to which prefix affinity applies; without them
+    /// there would be no affinity in an idle region.
     pub affinity_slack: u16,
-    /// How long an endpoint that has failed or refused a request is chosen last;
-    /// doubles with each failure in a row.
+    /// How long other endpoints are preferred to one that has failed or refused a
+    /// request; doubles with each consecutive failure.
     pub endpoint_avoid_ms: Millis,
-    /// How long an endpoint without requests is kept after it left the list.
-    /// Covers a list that shows old states out of order.
+    /// How long the state of an endpoint without requests is kept after it has
+    /// disappeared from the list. Covers a list that shows old states out of order.
     pub endpoint_forget_ms: Millis,
 
-    /// Age at which a host gets no more forwarded requests.
+    /// Age of the newest heartbeat at which a host gets no new requests.
     pub host_live_ms: Millis,
-    /// Age at which a host is forgotten.
+    /// Age of the newest heartbeat at which the state of a host is dropped.
     pub host_forget_ms: Millis,
     /// Age at which a region's summary is ignored.
     pub summary_max_age_ms: Millis,
-    /// How long a host that could not be reached, or refused because it is
-    /// leaving, gets no forwarded requests.
+    /// How long a host gets no forwarded requests after it was unreachable or
+    /// refused one because it is leaving.
     pub host_avoid_ms: Millis,
 
-    /// Earlier completion that justifies going to another region.
+    /// Time by which another region must finish a request earlier to be chosen
+    /// instead of the local region.
     pub away_margin_ms: Millis,
-    /// Earlier completion that justifies staying with that choice; lower than
-    /// `away_margin_ms`, so that a small change does not bring all back.
+    /// The same while another region was the better choice for the last request;
+    /// lower than `away_margin_ms`, so that a small change does not bring all
+    /// requests back to the local region.
     pub away_stay_ms: Millis,
-    /// Most recent requests sent away when home could serve them, in
-    /// thousandths.
+    /// Maximum share of recent requests forwarded although the local region could
+    /// serve them in time, in thousandths.
     pub away_cap_permille: u16,
-    /// The same when home cannot serve them in time.
+    /// The same if the local region cannot serve them in time.
     pub away_forced_cap_permille: u16,
-    /// Time in which the memory of requests sent away halves.
+    /// Half-life of the counts of recent and of forwarded requests.
     pub away_half_life_ms: Millis,
-    /// Share of another region's free slots that all hosts of this region may
-    /// use between two summaries, in thousandths.
+    /// Share of another region's free slots that all hosts of this region together
+    /// may use between two of its summaries, in thousandths.
     pub away_free_permille: u16,
-    /// Share of a link that requests may use, in thousandths.
+    /// Share of a link's bandwidth that requests may use, in thousandths.
     pub link_permille: u16,
-    /// Slots of an endpoint where this host knows none for the target.
+    /// Assumed slots of an endpoint if this host knows none for the target.
     pub default_slots: u32,
-    /// Time over which a region that returns is given its full share.
+    /// Time over which a region that recovers reaches its full share of requests.
     pub ramp_ms: Millis,
-    /// Share that it is given at once, in thousandths.
+    /// Share that it gets at once, in thousandths.
     pub ramp_start_permille: u16,
-    /// Bytes between regions for each token of an answer: one server-sent event.
+    /// Bytes between regions per token of an answer: one server-sent event.
     pub answer_bytes_per_token: u32,
 
-    /// Waiting requests that are tried when an endpoint may have room.
+    /// Maximum number of queued requests that are tried when an endpoint may have
+    /// become available.
     pub release_scan: usize,
-    /// Most requests that wait at this host.
+    /// Maximum number of queued requests on this host.
     pub max_queue_len: usize,
-    /// Longest predicted wait with which a request is queued.
+    /// Longest predicted wait at which a request is still queued.
     pub max_queue_wait_ms: Millis,
-    /// Wait told to callers when nothing better is known.
+    /// Default time after which callers should retry.
     pub retry_after_ms: Millis,
-    /// How long a cancelled attempt may take to end before it is written off.
+    /// How long a cancelled attempt may take to end before it is given up.
     pub cancel_wait_ms: Millis,
 
     /// Retries earned by each request, in thousandths.
     pub retry_permille: u16,
-    /// Retries that can be saved up, and that a new host has.
+    /// Maximum retry budget, and its initial value.
     pub retry_burst: u16,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u16,
-    /// Upper end of the delay before the first retry; doubles for each more.
+    /// Upper bound of the delay before the first retry; doubles with each further
+    /// retry.
     pub retry_base_ms: Millis,
-    /// Delays up to this are not worth waiting for a tick.
+    /// Retries with a delay up to this start at once instead of at a later tick.
     pub retry_now_ms: Millis,
 
-    /// Demand that one grant covers.
+    /// Period of spending that one grant covers.
     pub grant_cover_ms: Millis,
-    /// Share of a grant below which the next one is asked for, in thousandths.
+    /// Share of a grant below which the next one is requested, in thousandths.
     pub grant_low_permille: u16,
-    /// Smallest amount asked for.
+    /// Smallest amount requested.
     pub grant_min: CostMicros,
-    /// Largest amount asked for, in thousandths of the budget.
+    /// Largest amount requested, in thousandths of the budget.
     pub grant_max_permille: u16,
-    /// Time after which an unanswered or failed request for a grant is repeated.
+    /// Time after which an unanswered or failed grant request is repeated.
     pub grant_retry_ms: Millis,
     /// Longest wait of a request for a grant.
     pub grant_wait_ms: Millis,
@@ -207,21 +218,21 @@
     /// unavailable, in thousandths. Nine hosts together stay below a tenth.
     pub outage_permille: u16,
 
-    /// Requests above the mean, in thousandths of it, that make a host
-    /// overloaded.
+    /// Requests in progress above which a host is overloaded, in thousandths of the
+    /// mean of its region.
     pub overload_permille: u16,
-    /// The same for an overloaded host to recover.
+    /// The same for a host that is already overloaded.
     pub recover_permille: u16,
-    /// Requests below which no host is overloaded.
+    /// Requests in progress below which no host is overloaded.
     pub overload_min_requests: u32,
-    /// How long callers use a list of entry hosts.
+    /// How long callers should use a list of entry hosts.
     pub entry_use_ms: Millis,
     /// The same while the list is short or its first host is overloaded.
     pub entry_short_use_ms: Millis,
 }
 
 impl Policy {
-    /// The parameters for an installation.
+    /// Returns the default parameters for an installation.
     pub fn new(weight: Weight) -> Self {
         let policy = Self::default();
         match weight {
@@ -299,7 +310,7 @@
     }
 }
 
-/// `permille` as a factor.
+/// Converts thousandths to a fraction.
 pub(super) fn fraction(permille: u16) -> f64 {
     f64::from(permille) / 1_000.0
 }
--- a/src/decision/predict.rs
+++ b/src/decision/predict.rs
@@ -1,9 +1,9 @@
-//! How long a request will take at an endpoint.
+//! Predicted run time of a request at an endpoint.
 //!
 //! Prefill time comes from the prompt tokens that are not cached, decode time
 //! from the batch size and the expected answer length, and queue wait from the
-//! requests beyond the endpoint's slots and the run time seen so far. Answer
-//! lengths and run times are moving averages of attempts that ended completely.
+//! requests beyond the endpoint's slots and the past run times. Answer lengths and
+//! run times are moving averages over attempts with a complete answer.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
     Tokens, //
 };
 
-/// Size of the work that a prediction is for.
+/// Size of a request for a prediction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Work {
     /// Prompt tokens to prefill.
     pub prompt: Tokens,
-    /// Most tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_output: Tokens,
 }
 
@@ -31,25 +31,25 @@
 pub struct Prediction {
     /// Wait at the endpoint before the run starts.
     pub wait_ms: f64,
-    /// From the start of the run to the first token.
+    /// From the start of the run to the first token; zero for a service call.
     pub prefill_ms: f64,
-    /// From the first token to the last; the whole run of a service call.
+    /// From the first token to the last; the entire run of a service call.
     pub decode_ms: f64,
 }
 
 impl Prediction {
-    /// From now to the whole answer.
+    /// From now to the complete answer.
     pub fn finish_ms(&self) -> f64 {
         self.wait_ms + self.run_ms()
     }
 
-    /// From the start of the run to the whole answer.
+    /// From the start of the run to the complete answer.
     pub fn run_ms(&self) -> f64 {
         self.prefill_ms + self.decode_ms
     }
 }
 
-/// Averages of the attempts of one target.
+/// Moving averages over the attempts of one target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Averages {
     output: f64,
@@ -63,13 +63,13 @@
 }
 
 impl Predictor {
-    /// A predictor that has seen nothing.
+    /// Creates a predictor that uses the initial estimates of the policy.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over a complete attempt with its duration, including its wait at
-    /// the endpoint.
+    /// Adds a complete attempt to the averages. `run_ms` is its duration, including
+    /// its wait at the endpoint.
     pub fn learn(&mut self, policy: &Policy, target: &Target, output: Tokens, run_ms: Millis) {
         let weight = fraction(policy.learn_permille);
         let mut averages = self.averages(policy, target);
@@ -78,12 +78,12 @@
         self.averages.insert(target.clone(), averages);
     }
 
-    /// Run time of a typical request of `target`, in milliseconds.
+    /// Returns the average run time of requests for `target`, in milliseconds.
     pub fn typical_run_ms(&self, policy: &Policy, target: &Target) -> f64 {
         self.averages(policy, target).run_ms.max(1.0)
     }
 
-    /// Predicts a run at an endpoint that holds `load` requests in `slots`.
+    /// Predicts a run at an endpoint that has `load` requests and `slots` slots.
     pub fn predict(
         &self,
         policy: &Policy,
@@ -127,12 +127,13 @@
     }
 }
 
-/// Time to prefill `uncached` prompt tokens, in milliseconds.
+/// Returns the time to prefill `uncached` prompt tokens, in milliseconds.
 pub fn prefill_ms(policy: &Policy, uncached: Tokens) -> f64 {
     uncached.0 as f64 * 1_000.0 / f64::from(policy.prefill_tokens_per_s.max(1))
 }
 
-/// Time between two tokens in a batch of `batch` requests, in milliseconds.
+/// Returns the time between two tokens in a batch of `batch` requests, in
+/// milliseconds.
 pub fn token_ms(policy: &Policy, batch: f64) -> f64 {
     let micros = f64::from(policy.decode_base_us) + f64::from(policy.decode_per_request_us) * batch;
     micros / 1_000.0
@@ -155,7 +156,7 @@
     }
 }
 
-/// A predicted time as a whole number of milliseconds, rounded up.
+/// Rounds a predicted time up to whole milliseconds.
 pub fn ceil_ms(ms: f64) -> Millis {
     Millis(ms.max(0.0).ceil() as u64)
 }
--- a/src/decision/prefix.rs
+++ b/src/decision/prefix.rs
@@ -1,11 +1,11 @@
-//! Prompt prefixes that an endpoint probably has in its cache.
+//! Prompt prefixes that an endpoint has probably cached.
 
 use std::collections::{
     HashMap,
     VecDeque, //
 };
 
-/// A bounded set of recently sent prefix hashes; the oldest are dropped first.
+/// A bounded set of recently sent prefix hashes that drops the oldest first.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrefixMemory {
     stamps: HashMap<u64, u64>,
@@ -14,14 +14,15 @@
 }
 
 impl PrefixMemory {
-    /// Nothing sent yet.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a prompt with these prefixes was sent.
+    /// Records that a prompt with these prefixes was sent, and keeps at most
+    /// `capacity` hashes.
     pub fn note(&mut self, prefix_hashes: &[u64], capacity: usize) {
-        // The deepest first, so that the shared leading blocks stay longest.
+        // Longest prefix first, so that shared leading blocks are dropped last.
         for hash in prefix_hashes.iter().rev() {
             self.stamps.insert(*hash, self.next_stamp);
             self.order.push_back((*hash, self.next_stamp));
@@ -32,7 +33,7 @@
         }
     }
 
-    /// How many leading blocks of the prompt were sent before.
+    /// Returns the number of leading blocks of the prompt that were sent before.
     pub fn known_blocks(&self, prefix_hashes: &[u64]) -> usize {
         let known = prefix_hashes
             .iter()
@@ -40,7 +41,7 @@
         known.map_or(0, |index| index + 1)
     }
 
-    /// Forgets everything, as an endpoint does when it restarts.
+    /// Removes all hashes, for an endpoint that has restarted with an empty cache.
     pub fn clear(&mut self) {
         self.stamps.clear();
         self.order.clear();
--- a/src/decision/ramp.rs
+++ b/src/decision/ramp.rs
@@ -1,8 +1,8 @@
-//! Gradual return of regions that had lost their capacity.
+//! Gradual ramp-up of regions that recover from a loss of capacity.
 //!
-//! A region that returns has cold caches, so the work it takes at first is
-//! slower than the prediction says. It is given a small share of its slots at
-//! once and the rest over some time.
+//! A region that recovers has cold caches, so its first requests take longer than
+//! predicted. Initially only a small share of its slots is used, which then grows
+//! linearly over the ramp time.
 
 use std::collections::BTreeMap;
 
@@ -26,27 +26,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Recovery {
     started_ms: Millis,
-    /// Share of the slots that were there all along.
+    /// Share of the slots that were available before the recovery.
     warm_fraction: f64,
 }
 
-/// When the capacity of each region and target has returned.
+/// Capacity, and time of the last recovery, by region and target.
 #[derive(Debug, Default)]
 pub struct Ramps {
     capacities: BTreeMap<RegionId, BTreeMap<Target, Capacity>>,
 }
 
 impl Ramps {
-    /// Nothing seen yet.
+    /// Creates a state without any capacity observed.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over the slots that a region has now; targets not named have none.
+    /// Records the current slots of a region. Targets that `slots` does not contain
+    /// have none.
     ///
-    /// A region seen for the first time counts as warm, since it is this host
-    /// that is new. With `max_gap_ms`, a region not seen for as long has
-    /// returned with all its slots.
+    /// All slots of a region that is observed for the first time count as warm,
+    /// since it is probably this host that has just started. If `max_gap_ms` is
+    /// given, none of the slots of a region that was not observed for that long
+    /// count as warm.
     pub fn observe(
         &mut self,
         now_ms: Millis,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Share of the slots of a region that may be used now, up to 1.
+    /// Returns the fraction of a region's slots that may be used now, up to 1.
     pub fn usable_fraction(
         &self,
         now_ms: Millis,
@@ -95,7 +97,7 @@
             Some(max_gap_ms) if gap_ms >= max_gap_ms => 0,
             _ => self.slots,
         };
-        // Less than a doubling is ordinary scaling, which needs no ramp.
+        // Less than a doubling is normal scaling and needs no ramp.
         if slots > 0 && warm_slots <= slots / 2 {
             self.recovery = Some(Recovery {
                 started_ms: now_ms,
--- a/src/decision/region_choice.rs
+++ b/src/decision/region_choice.rs
@@ -1,11 +1,12 @@
-//! Home or another region.
+//! The choice between the local region, which is this host's, and a remote one.
 //!
-//! A request stays local unless another region will probably finish it earlier
-//! by a margin, or local cannot finish it in time. Three things keep regions from
-//! swinging together: the margin is lower for staying with a choice than for
-//! changing it, a cap bounds the share of recent requests sent away, and the
-//! hosts of a region use only a part of another region's free slots between two
-//! of its summaries. A region that returns is given its share gradually.
+//! A request stays in the local region unless a remote region is predicted to
+//! finish it earlier by a margin, or the local region cannot finish it in time.
+//! Three measures prevent regions from oscillating: the margin for keeping a
+//! choice is lower than that for changing it, a cap bounds the share of recent
+//! requests that are forwarded, and the hosts of a region use only a part of a
+//! remote region's free slots between two of its summaries. A region that recovers
+//! from a loss of capacity gets its share of requests gradually.
 
 use std::collections::BTreeMap;
 
@@ -43,51 +44,52 @@
     Target, //
 };
 
-/// A request for which a region is chosen.
+/// The properties of a request that determine its region.
 #[derive(Debug, Clone, Copy)]
 pub struct RegionQuery<'a> {
-    /// What it is for.
+    /// The model or service that is requested.
     pub target: &'a Target,
-    /// Size of the work; nothing of it is cached elsewhere.
+    /// Size of the request; a remote region is assumed to have nothing of it cached.
     pub work: Work,
     /// Length of the request body.
     pub body: Bytes,
-    /// Regions that may see it.
+    /// Regions that may see the request.
     pub allowed: &'a AllowedRegions,
     /// Time left until its deadline.
     pub remaining_ms: Millis,
 }
 
-/// What local can do for a request.
+/// Estimated performance and load of the local region for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalEstimate {
-    /// Predicted completion, or `None` without an endpoint.
+    /// Predicted time until the complete answer, in milliseconds, or `None` without
+    /// an endpoint.
     pub finish_ms: Option<f64>,
-    /// Requests in progress for each slot, as estimated.
+    /// Estimated requests in progress per slot.
     pub load_per_slot: f64,
-    /// The same as the newest reports show it.
+    /// Requests in progress per slot according to the newest reports.
     pub reported_load_per_slot: f64,
-    /// Slots of all endpoints.
+    /// Total slots of all endpoints.
     pub slots: f64,
-    /// Slots of a typical endpoint.
+    /// Mean slots of an endpoint.
     pub endpoint_slots: f64,
 }
 
-/// Another region that could take a request.
+/// A remote region that could serve a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RemoteRegion {
     /// The region.
     pub region: RegionId,
-    /// Predicted time until the whole answer is back here.
+    /// Predicted time until the complete answer has arrived here, in milliseconds.
     pub finish_ms: f64,
-    /// Requests in progress for each slot.
+    /// Requests in progress per slot.
     pub load_per_slot: f64,
-    /// Its slots.
+    /// Total slots of its endpoints.
     pub slots: f64,
-    /// Requests that this host may send there until the next summary.
+    /// Requests that this host may still forward to it before the next summary.
     pub quota: f64,
-    /// The same while local cannot serve them in time. A region that has
-    /// returned is then not spared, since it can refuse what is too much.
+    /// The same for requests that the local region cannot serve in time. It does
+    /// not ramp up a region that recovers, which can refuse excess requests.
     pub forced_quota: f64,
 }
 
@@ -100,7 +102,7 @@
 }
 
 impl RegionChooser {
-    /// A choice that has sent nothing away.
+    /// Creates the state of a host that has forwarded nothing.
     pub fn new(links: Vec<RegionLink>) -> Self {
         let links = links
             .into_iter()
@@ -112,13 +114,13 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a request received from a caller.
     pub fn note_request(&mut self, now_ms: Millis, target: &Target, policy: &Policy) {
         let history = self.histories.entry(target.clone()).or_default();
         history.note_request(now_ms, policy);
     }
 
-    /// Notes the capacity that another region reports.
+    /// Records the capacity that a remote region reports.
     pub fn note_summary(&mut self, now_ms: Millis, summary: &RegionSummary, policy: &Policy) {
         let capacity = summary.capacity.iter();
         let slots = capacity
@@ -129,7 +131,7 @@
             .observe(now_ms, &summary.region, &slots, max_gap_ms);
     }
 
-    /// Notes the capacity of this region.
+    /// Records the capacity of the local region.
     pub fn note_local_capacity(
         &mut self,
         now_ms: Millis,
@@ -139,7 +141,7 @@
         self.ramps.observe(now_ms, region, slots, None);
     }
 
-    /// Notes that a request was sent to another region.
+    /// Records that a request was forwarded to a remote region.
     pub fn note_sent(
         &mut self,
         context: &Context<'_>,
@@ -161,16 +163,16 @@
         }
     }
 
-    /// Notes that a request sent to another region has ended.
+    /// Records that a forwarded request has ended.
     pub fn note_ended(&mut self, region: &RegionId, target: &Target, request: RequestId) {
         if let Some(state) = self.links.get_mut(region) {
             state.note_ended(target, request);
         }
     }
 
-    /// Chooses a host of another region, or `None` to stay local.
+    /// Chooses a remote region and one of its hosts, or `None` for the local region.
     ///
-    /// `turn` counts the choices for `RoundRobin`.
+    /// `turn` is the number of choices so far, for `RoundRobin`.
     pub fn choose<R>(
         &mut self,
         context: &Context<'_>,
@@ -214,7 +216,7 @@
             true => remote.forced_quota,
             false => remote.quota,
         };
-        // A fraction of a request is allowed as often as it says.
+        // A fractional quota allows a request with that probability.
         let draw = rng.random::<f64>();
         let best = remotes
             .iter()
@@ -261,7 +263,7 @@
             .usable_fraction(context.now_ms, region, target, context.policy)
     }
 
-    /// Other regions that could take a request.
+    /// Returns the remote regions that could serve a request.
     pub fn remotes(
         &self,
         context: &Context<'_>,
@@ -307,14 +309,16 @@
     }
 }
 
-/// Time on the wide-area network, both ways.
+/// Returns the time in the network between the regions, for both directions, in
+/// milliseconds.
 fn network_ms(context: &Context<'_>, link: &LinkState, query: &RegionQuery<'_>) -> f64 {
     let latency_ms = link.link.latency_ms.0 as f64 * 2.0;
     let hosts = context.host_count();
     latency_ms + link.send_ms(context.now_ms, query.body, hosts, context.policy)
 }
 
-/// Time at a region whose endpoints are as large as those at local.
+/// Returns the predicted time at a remote region, in milliseconds, assuming that
+/// its endpoints have as many slots as the local ones.
 fn run_ms(
     context: &Context<'_>,
     query: &RegionQuery<'_>,
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,4 +1,4 @@
-//! A request in progress at this host.
+//! A request in progress on this host.
 
 use super::{
     budget::{
@@ -27,53 +27,57 @@
     Tokens, //
 };
 
-/// Status from which an error of a model engine may have cost a prefill.
+/// Lowest status of an answer for which a model engine may have prefilled the
+/// prompt before it failed.
 const SERVER_ERROR: u16 = 500;
 
-/// Where a request is.
+/// The phase of a request in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits for a spending share.
+    /// It waits for a budget grant.
     AwaitingGrant { since_ms: Millis },
     /// It waits for an endpoint.
     Queued,
-    /// It waits before its next attempt.
+    /// It waits for the delay before its next attempt.
     Delayed { until_ms: Millis },
-    /// Its attempt runs at an endpoint of this region.
+    /// Its attempt is running at an endpoint of this region.
     AtEndpoint(EndpointId),
-    /// Its attempt runs at a host of another region.
+    /// Its attempt was forwarded to a host of another region.
     Forwarded { region: RegionId, host: HostId },
 }
 
-/// A request with everything decided about it so far.
+/// A request with the state of its attempts.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// As it arrived, with tier and deadline bounded by the caller's intent.
+    /// The request as it arrived, with tier and deadline bounded by the caller's
+    /// intent.
     pub arrival: Arrival,
-    /// Regions that may see it.
+    /// Regions that may see the request.
     pub allowed: AllowedRegions,
-    /// Price when it arrived.
+    /// Prices of the target when the request arrived.
     pub price: Price,
     /// Number of the current or next attempt.
     pub attempt: Attempt,
-    /// Where it is.
+    /// Current phase.
     pub phase: Phase,
-    /// Endpoints that have failed it.
+    /// Endpoints of its ended attempts.
     pub tried: Vec<EndpointId>,
-    /// Whether it has been in another region.
+    /// Whether it may have reached another region in an earlier attempt.
     pub was_forwarded: bool,
-    /// Money set aside; none for a request paid for by another host.
+    /// Reserved cost; `None` for a forwarded request, which the forwarding host
+    /// pays for.
     pub reservation: Option<Reservation>,
-    /// When its attempt was sent.
+    /// When the request arrived or was last dispatched.
     pub sent_ms: Millis,
-    /// Whether a token of its attempt has reached the caller.
+    /// Whether a token of the current attempt was passed on.
     pub has_first_token: bool,
-    /// When the caller got its final answer while the attempt still ran.
+    /// When the request was refused at its deadline while its attempt was still
+    /// running.
     pub answered_ms: Option<Millis>,
 }
 
 impl OpenRequest {
-    /// A request that has just been checked.
+    /// Creates the state of a request that has just been validated.
     pub fn new(now_ms: Millis, arrival: Arrival, allowed: AllowedRegions, price: Price) -> Self {
         Self {
             arrival,
@@ -90,21 +94,22 @@
         }
     }
 
-    /// Whether an attempt of it runs.
+    /// Whether an attempt is running.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::AtEndpoint(_) | Phase::Forwarded { .. })
     }
 
-    /// Whether this host's caller sent it, so that this host pays for it.
+    /// Whether a caller sent it to this host, which then pays for it.
     pub fn is_from_caller(&self) -> bool {
         self.arrival.origin == Origin::Caller
     }
 
-    /// Whether it may go to another region.
+    /// Whether it may be forwarded to another region.
     ///
-    /// A forwarded request is final here. One that must not be repeated is
-    /// final at the owner of its ticket. One that has been in another region
-    /// goes to no second one, whatever became of it there.
+    /// A request that was forwarded to this host is not forwarded again. One that
+    /// must not be repeated stays with the owner of its ticket. One that may have
+    /// reached another region is not forwarded to a second one, whatever its
+    /// outcome there.
     pub fn may_forward(&self) -> bool {
         self.is_from_caller() && self.arrival.is_repeatable && !self.was_forwarded
     }
@@ -114,7 +119,7 @@
         self.arrival.deadline_ms - now_ms
     }
 
-    /// Size of its work without a cached prefix.
+    /// Size of the request, without any cached prefix.
     pub fn work(&self) -> Work {
         Work {
             prompt: self.arrival.prompt,
@@ -122,13 +127,13 @@
         }
     }
 
-    /// The most that one attempt can cost.
+    /// The maximum cost of one attempt.
     pub fn max_cost(&self) -> CostMicros {
         let arrival = &self.arrival;
         self.price.cost(arrival.prompt, arrival.max_output)
     }
 
-    /// What an attempt with this outcome has cost.
+    /// The cost of an attempt with this outcome.
     pub fn cost(&self, outcome: &AttemptOutcome) -> CostMicros {
         let prompt = self.arrival.prompt;
         match outcome {
@@ -152,7 +157,7 @@
         self.price.cost(self.arrival.prompt, Tokens(0))
     }
 
-    /// What it asks of an endpoint.
+    /// Returns the properties that determine its endpoint.
     pub fn endpoint_query<'a>(
         &'a self,
         now_ms: Millis,
@@ -172,8 +177,9 @@
 
     /// Whether it may wait for an endpoint that has its prefix cached.
     ///
-    /// A first attempt has been sent nowhere since it arrived. A caller whose
-    /// answer broke, or whose deadline is near, should not wait again.
+    /// Only a first attempt may, for which `sent_ms` is still the time of arrival.
+    /// A caller whose answer was interrupted, or whose deadline is near, should not
+    /// wait longer.
     fn may_wait_for_cache(&self, now_ms: Millis, policy: &Policy) -> bool {
         let limit_ms = policy.affinity_wait_ms;
         let has_time = self.remaining_ms(now_ms) > limit_ms + limit_ms;
@@ -181,7 +187,7 @@
         is_first && now_ms - self.sent_ms < limit_ms && has_time
     }
 
-    /// What it asks of another region.
+    /// Returns the properties that determine its region.
     pub fn region_query(&self, now_ms: Millis) -> RegionQuery<'_> {
         RegionQuery {
             target: &self.arrival.target,
--- a/src/decision/residency.rs
+++ b/src/decision/residency.rs
@@ -1,8 +1,7 @@
-//! The regions that may see a request, computed once.
+//! The regions that may see a request, determined once on its arrival.
 //!
-//! [`AllowedRegions::for_request`] runs when a request arrives. Every later
-//! stage takes its regions from the result and never from the intent, which may
-//! have changed since.
+//! [`AllowedRegions::for_request`] is called when a request arrives. All later
+//! stages use the result and never the intent, which may have changed since.
 
 use serde::{
     Deserialize,
@@ -23,15 +22,15 @@
 pub struct AllowedRegions(Vec<RegionId>);
 
 impl AllowedRegions {
-    /// The regions that a caller's intent allows.
+    /// Returns the regions that a caller's intent allows.
     pub fn new(intent: &CallerIntent) -> Self {
         Self(intent.regions.clone())
     }
 
-    /// The regions that may see a request of the caller with this intent.
+    /// Returns the regions that may see a request of the caller with this intent.
     ///
-    /// A forwarded request may go only where both this host and the one that
-    /// forwarded it allow it, since either may have the older intent.
+    /// A forwarded request is limited to the regions that both this host and the
+    /// forwarding host allow, since either may have the older intent.
     pub fn for_request(intent: &CallerIntent, origin: &Origin) -> Self {
         let allowed = Self::new(intent);
         match origin {
@@ -40,7 +39,7 @@
         }
     }
 
-    /// The regions that are in both sets.
+    /// Returns the regions that are in both sets.
     pub fn intersect(&self, other: &Self) -> Self {
         let common = self.0.iter().filter(|region| other.contains(region));
         Self(common.cloned().collect())
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,7 +1,7 @@
-//! Which attempts may be repeated, how many, and when.
+//! Retry rules: which attempts may be repeated, how many of them, and when.
 //!
-//! Each request earns a part of a retry, so retries stay a fixed share of recent
-//! requests and cannot multiply the load of endpoints that already fail.
+//! Each request earns a fraction of a retry, so retries stay a fixed share of
+//! recent requests and cannot multiply the load of endpoints that already fail.
 
 use rand::{
     Rng,
@@ -17,10 +17,10 @@
     Millis, //
 };
 
-/// Parts of a retry that make one.
+/// Units of the retry budget per retry.
 const PARTS_PER_RETRY: u64 = 1_000;
 
-/// Retries that may still be made.
+/// A budget that bounds the number of retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     parts: u64,
@@ -28,7 +28,7 @@
 }
 
 impl RetryBudget {
-    /// The budget of a new host.
+    /// Creates a full budget.
     pub fn new(policy: &Policy) -> Self {
         Self {
             parts: max_parts(policy),
@@ -36,18 +36,18 @@
         }
     }
 
-    /// Retries made so far.
+    /// Number of retries so far.
     pub fn spent(&self) -> u64 {
         self.spent
     }
 
-    /// Adds what one request earns.
+    /// Adds the fraction of a retry that one request earns.
     pub fn earn(&mut self, policy: &Policy) {
         let earned = self.parts + u64::from(policy.retry_permille);
         self.parts = earned.min(max_parts(policy));
     }
 
-    /// Takes one retry, unless the budget is used up.
+    /// Takes one retry from the budget, and returns whether there was one.
     pub fn spend(&mut self) -> bool {
         if self.parts < PARTS_PER_RETRY {
             return false;
@@ -62,7 +62,8 @@
     u64::from(policy.retry_burst) * PARTS_PER_RETRY
 }
 
-/// Whether a request with this outcome may be sent again without running twice.
+/// Whether a request may be sent again after this outcome: either it did not run,
+/// or it is safe to run more than once.
 pub fn may_repeat(outcome: &AttemptOutcome, is_repeatable: bool) -> bool {
     match outcome {
         AttemptOutcome::NotSent | AttemptOutcome::Rejected { .. } => true,
@@ -74,8 +75,8 @@
     }
 }
 
-/// Delay before the attempt after `attempt`, drawn evenly up to a bound that
-/// doubles with each attempt.
+/// Draws the delay before the attempt that follows `attempt`, uniformly up to a
+/// bound that doubles with each attempt.
 pub fn delay<R>(rng: &mut R, policy: &Policy, attempt: Attempt) -> Millis
 where
     R: Rng,
--- a/src/decision/summary.rs
+++ b/src/decision/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of this region for the others.
+//! The summary of this region for other regions.
 
 use std::collections::BTreeMap;
 
@@ -23,13 +23,13 @@
     }, //
 };
 
-/// Hosts named in a summary; more do not fit in a datagram.
+/// Maximum number of hosts in a summary; more do not fit in a datagram.
 pub const MAX_FORWARD_HOSTS: usize = 8;
 
-/// Sums up this host's region from its view.
+/// Summarises this host's region from its view.
 ///
-/// Endpoints that serve another version of
-/// a model than the one in force are left out.
+/// Endpoints that serve a version of a model other than the one in force are
+/// excluded.
 pub fn region_summary(context: &Context<'_>, intents: &Intents) -> RegionSummary {
     let revisions = context.ready_hosts();
     let lowest = revisions.map(|state| state.heartbeat.revision).min();
@@ -93,7 +93,8 @@
         .collect()
 }
 
-/// The lowest revision that a region is known to have in force.
+/// Returns the lowest revision in force in a region, according to its newest
+/// summary.
 pub fn known_revision(view: &View, region: &RegionId) -> Option<Revision> {
     let state = view.summaries.get(region)?;
     Some(state.summary.lowest_revision)
--- a/src/decision/tick.rs
+++ b/src/decision/tick.rs
@@ -1,4 +1,4 @@
-//! What happens because time passes.
+//! Periodic work: timers, deadlines and the queue.
 
 use super::{
     Gateway,
@@ -15,8 +15,8 @@
     Target, //
 };
 
-/// Part of the predicted wait that a queued request may count on not having.
-/// A request is given up only if even a queue twice as fast would be too late.
+/// Factor on the predicted wait of a queued request. The request is refused only
+/// if it would be late even with a queue that drains twice as fast as predicted.
 const WAIT_FACTOR: f64 = 0.5;
 
 impl Gateway {
@@ -73,8 +73,8 @@
 
     /// Ends a request at its deadline.
     ///
-    /// An answer that has begun is left to end by itself: the caller is already
-    /// reading it, and the whole answer is worth more than a cut one.
+    /// An answer that has begun is not cancelled: the caller is already reading it,
+    /// and a late complete answer is more useful than a truncated one.
     fn expire(&mut self, now_ms: Millis, request: RequestId, actions: &mut Vec<Action>) {
         let refusal = Refusal::new(RefusalReason::DeadlinePassed);
         let Some(open) = self.open.get_mut(&request) else {
@@ -97,7 +97,7 @@
         actions.push(Action::Refuse { request, refusal });
     }
 
-    /// Refuses queued requests that cannot finish by their deadline any more.
+    /// Refuses queued requests that can no longer finish by their deadline.
     fn refuse_late(&mut self, now_ms: Millis, target: &Target, actions: &mut Vec<Action>) {
         let slots = self.inputs.view.slots(&self.inputs.region);
         let slots = slots.get(target).copied().unwrap_or(0);
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -1,8 +1,8 @@
 //! Hosts, endpoints and regions as this host knows them.
 //!
-//! Everything in here may be late, so every entry has the instant at which its
-//! source wrote it. An entry is replaced only by a newer one of the same source,
-//! which makes loss, duplication and reordering of messages harmless.
+//! All of this may be outdated, so every entry carries a time or sequence number
+//! set by its source. An entry is replaced only by a newer one from the same
+//! source, so lost, duplicated and reordered messages do no harm.
 
 use std::{
     collections::{
@@ -37,30 +37,30 @@
     }, //
 };
 
-/// An endpoint as the platform's list shows it.
+/// An endpoint in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointInfo {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its region.
     pub region: RegionId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// What it serves.
+    /// The model or service that it serves.
     pub target: Target,
-    /// Version of the model it serves; empty for services.
+    /// Version of the model that it serves; empty for services.
     pub version: CompactString,
     /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it continues a partial answer without repeating it.
+    /// Whether it can continue a partial answer without repeating it.
     pub can_continue: bool,
     /// Whether the list shows it as leaving.
     pub is_leaving: bool,
 }
 
-/// A host as the platform's list shows it.
+/// A host in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostInfo {
     /// Name of the host.
@@ -80,7 +80,7 @@
     pub host: HostId,
     /// Its current run.
     pub incarnation: Incarnation,
-    /// Counts the heartbeats of this run.
+    /// Sequence number of the heartbeat within this run.
     pub sequence: u64,
     /// Its region.
     pub region: RegionId,
@@ -90,50 +90,50 @@
     pub peer_address: SocketAddr,
     /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Whether it takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_leaving: bool,
     /// Whether it has a configuration and serves callers.
     pub is_ready: bool,
-    /// Revision that it has in force.
+    /// Revision of the configuration in force.
     pub revision: Revision,
     /// Requests in progress.
     pub open_requests: u32,
-    /// Runs whose tickets it decides; its own one is among them until it has
-    /// handed them over.
+    /// Host runs whose tickets it is responsible for, including its own run until
+    /// it has handed its tickets over.
     pub ticket_runs: Vec<HostRun>,
 }
 
-/// Load that an endpoint reports.
+/// An endpoint's report of its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its current run, as far as it tells.
+    /// Its current run, if it reports one.
     pub incarnation: Incarnation,
     /// When the load was measured.
     pub measured_ms: Millis,
-    /// Requests that it runs.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests that wait at the endpoint.
     pub waiting: u32,
     /// Used share of its cache, in thousandths.
     pub cache_permille: u16,
-    /// Whether it takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_leaving: bool,
 }
 
-/// What one region can take, for one target.
+/// Capacity of one region for one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCapacity {
     /// The target.
     pub target: Target,
     /// Requests that its endpoints run at the same time.
     pub slots: u32,
-    /// Requests that they run or hold now.
+    /// Estimated requests that run or wait at its endpoints now.
     pub busy: u32,
 }
 
-/// A host that takes requests from other regions.
+/// A host that accepts requests forwarded from other regions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardHost {
     /// The host.
@@ -149,31 +149,32 @@
 pub struct RegionSummary {
     /// The region.
     pub region: RegionId,
-    /// When the summary was made.
+    /// When the summary was created, by the clock of its source.
     pub made_ms: Millis,
     /// Capacity by target.
     pub capacity: Vec<TargetCapacity>,
-    /// Lowest revision in force at a live host.
+    /// Lowest revision in force on a ready host.
     pub lowest_revision: Revision,
-    /// Hosts to forward to, at most eight.
+    /// Hosts to forward requests to, at most eight.
     pub hosts: Vec<ForwardHost>,
 }
 
-/// Runs of a host remembered, so that their late heartbeats are ignored.
+/// Past runs remembered per host, so that their late heartbeats are ignored.
 const PAST_INCARNATIONS: usize = 4;
 
-/// A host with what is known of it.
+/// The known state of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostState {
     /// Newest heartbeat.
     pub heartbeat: Heartbeat,
-    /// When it arrived here.
+    /// When the newest heartbeat arrived here.
     pub received_ms: Millis,
-    /// When its current run was first heard.
+    /// When the first heartbeat of its current run arrived here.
     pub run_since_ms: Millis,
-    /// Whether it has said in its current run, or the list, that it leaves.
+    /// Whether a heartbeat of its current run, or the platform's list, has marked it
+    /// as leaving.
     pub is_leaving: bool,
-    /// Whether callers should rather use other hosts.
+    /// Whether callers should prefer other hosts.
     pub is_overloaded: bool,
     past_incarnations: Vec<Incarnation>,
 }
@@ -190,12 +191,12 @@
         }
     }
 
-    /// Whether it has been heard lately, is ready and stays.
+    /// Whether it is live, ready and not leaving.
     pub fn takes_work(&self, now_ms: Millis, policy: &Policy) -> bool {
         self.is_live(now_ms, policy) && self.heartbeat.is_ready && !self.is_leaving
     }
 
-    /// Whether it has been heard lately.
+    /// Whether its newest heartbeat is recent.
     pub fn is_live(&self, now_ms: Millis, policy: &Policy) -> bool {
         now_ms - self.received_ms < policy.host_live_ms
     }
@@ -223,21 +224,22 @@
     }
 }
 
-/// A region's summary with the instant at which it arrived here.
+/// A region's newest summary with its time of arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SummaryState {
     /// The summary.
     pub summary: RegionSummary,
-    /// When it arrived; its age does not depend on the clock of its source.
+    /// When it arrived here. Its age is computed from this, so that it does not
+    /// depend on the clock of its source.
     pub received_ms: Millis,
 }
 
-/// Everything this host knows of the others.
+/// The known state of endpoints, hosts and regions.
 #[derive(Debug, Default)]
 pub struct View {
-    /// Endpoints of all regions by name.
+    /// Endpoints of all regions, by name.
     pub endpoints: BTreeMap<EndpointId, EndpointState>,
-    /// Hosts that have been heard, by name.
+    /// Hosts whose heartbeats have arrived, by name.
     pub hosts: BTreeMap<HostId, HostState>,
     /// Newest summary of each region.
     pub summaries: BTreeMap<RegionId, SummaryState>,
@@ -247,15 +249,15 @@
 }
 
 impl View {
-    /// Nothing known yet.
+    /// Creates an empty view.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over the platform's list.
+    /// Applies the platform's list.
     ///
-    /// Endpoints that it no longer shows get no new work, but are kept for the
-    /// requests still there and for what is known of their leaving.
+    /// Endpoints that are no longer listed get no new requests. Their state is kept
+    /// for requests in progress and to remember whether they are leaving.
     pub fn apply_list(&mut self, now_ms: Millis, endpoints: Vec<EndpointInfo>, hosts: &[HostInfo]) {
         for state in self.endpoints.values_mut() {
             state.unlisted_ms.get_or_insert(now_ms);
@@ -276,7 +278,7 @@
     fn apply_listed_hosts(&mut self, hosts: &[HostInfo]) {
         let leaving = hosts.iter().filter(|host| host.is_leaving);
         let leaving: BTreeSet<HostId> = leaving.map(|host| host.id.clone()).collect();
-        // As for endpoints, only the change counts, since the list lags.
+        // As for endpoints, only a change to leaving counts, since the list lags.
         for id in leaving.difference(&self.listed_leaving) {
             if let Some(state) = self.hosts.get_mut(id) {
                 state.is_leaving = true;
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Endpoints of a region that take new work for a target and version.
+    /// Endpoints of a region that accept new requests for a target and version.
     ///
     /// Services have no version, so `version` is `None` for them.
     pub fn serving<'a>(
@@ -313,7 +315,7 @@
             .filter(move |state| version.is_none_or(|version| state.info.version == version))
     }
 
-    /// Slots of the endpoints of a region that take new work, by target.
+    /// Total slots of a region's endpoints that accept new requests, by target.
     pub fn slots(&self, region: &RegionId) -> BTreeMap<Target, u32> {
         let targets = self.by_target.get(region);
         let slots = targets.into_iter().flatten().map(|(target, _)| {
@@ -323,14 +325,14 @@
         slots.collect()
     }
 
-    /// Takes over a load report unless a newer one is known.
+    /// Applies a load report unless a newer one is known.
     pub fn apply_report(&mut self, report: EndpointReport) {
         if let Some(state) = self.endpoints.get_mut(&report.endpoint) {
             state.apply_report(report);
         }
     }
 
-    /// Takes over a heartbeat unless a newer one is known.
+    /// Applies a heartbeat unless a newer one is known.
     pub fn apply_heartbeat(&mut self, now_ms: Millis, heartbeat: Heartbeat) {
         match self.hosts.get_mut(&heartbeat.host) {
             Some(known) => known.apply(now_ms, heartbeat),
@@ -341,8 +343,8 @@
         }
     }
 
-    /// Takes over a summary unless a newer one is known, and returns whether it
-    /// did.
+    /// Applies a summary unless a newer one is known, and returns whether it was
+    /// applied.
     pub fn apply_summary(&mut self, now_ms: Millis, mut summary: RegionSummary) -> bool {
         let known = self.summaries.get(&summary.region);
         let known = known.map(|known| &known.summary);
@@ -361,7 +363,7 @@
         true
     }
 
-    /// The summary of a region, unless it is too old.
+    /// Returns the newest summary of a region, unless it is too old.
     pub fn fresh_summary(
         &self,
         now_ms: Millis,
@@ -373,12 +375,12 @@
         is_fresh.then_some(&state.summary)
     }
 
-    /// Forwards nothing to a host for a while.
+    /// Excludes a host from forwarded requests until the given time.
     pub fn avoid_host(&mut self, host: HostId, until_ms: Millis) {
         self.avoided_until_ms.insert(host, until_ms);
     }
 
-    /// Hosts of a region's summary that take forwarded requests now.
+    /// Hosts in a region's summary that accept forwarded requests now.
     pub fn forward_hosts(
         &self,
         now_ms: Millis,
@@ -406,13 +408,14 @@
         if is_avoided || self.listed_leaving.contains(&host.host) {
             return false;
         }
-        // A host of another region is mostly known from its summary alone.
+        // Most hosts of other regions are known only from their region's summary.
         self.hosts.get(&host.host).is_none_or(|state| {
             state.takes_work(now_ms, policy) && state.heartbeat.region == *region
         })
     }
 
-    /// Hosts of a region that take work, this one included if it is heard.
+    /// Hosts of a region that accept new requests, including this one if its own
+    /// heartbeats are delivered as events.
     pub fn ready_hosts<'a>(
         &'a self,
         now_ms: Millis,
@@ -424,8 +427,8 @@
         })
     }
 
-    /// The run that decides the tickets of `run`: itself, or the one that has
-    /// announced that it took them over.
+    /// Returns the run that is responsible for the tickets of `run`: `run` itself,
+    /// or the run of another host that has announced that it took them over.
     pub fn ticket_holder(&self, run: &HostRun) -> HostRun {
         let is_successor = |state: &&HostState| {
             state.heartbeat.host != run.host && state.heartbeat.ticket_runs.contains(run)
@@ -444,7 +447,7 @@
         self.ready_hosts(now_ms, region, policy).count().max(1)
     }
 
-    /// Forgets what is too old, and finds the overloaded hosts.
+    /// Removes outdated entries and updates which hosts are overloaded.
     pub fn refresh(&mut self, now_ms: Millis, policy: &Policy) {
         self.hosts
             .retain(|_, state| now_ms - state.received_ms < policy.host_forget_ms);
