--- a/src/gateway/serve_ending.rs
+++ b/src/gateway/serve_ending.rs
@@ -105,7 +105,7 @@
         }
         let service = exchange.plan.service.clone();
         let attempt = exchange.request.call.attempt.clone();
-        let is_allowed = self.budget.take(&service, hosts, now_ms);
+        let is_allowed = self.budget.try_take(&service, hosts, now_ms);
         tracing::info!(request = %attempt, cause, is_allowed, "repeat decided");
         if is_allowed {
             self.telemetry.count_repeat();
@@ -138,9 +138,9 @@
         if let Destination::Endpoint(choice) = &sending.destination
             && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
         {
-            endpoint.finish(choice.work, sending.has_begun);
+            endpoint.record_end(choice.work, sending.has_begun);
             self.pending_update.record_change(&choice.endpoint);
-            let blocked = failure.is_some_and(|failure| endpoint.fail(failure, now_ms));
+            let blocked = failure.is_some_and(|failure| endpoint.record_failure(failure, now_ms));
             if blocked {
                 let for_ms = endpoint.blocked_until_ms().saturating_sub(now_ms);
                 tracing::warn!(
@@ -290,7 +290,7 @@
             return;
         };
         let service = exchange.plan.service.clone();
-        if !self.budget.take(&service, hosts, now_ms) {
+        if !self.budget.try_take(&service, hosts, now_ms) {
             return;
         }
         let exchange = &mut self.exchanges[key];
--- a/src/gateway/news.rs
+++ b/src/gateway/state_updates.rs
@@ -5,18 +5,18 @@
 use compact_str::CompactString;
 
 use super::{
-    belief::Update,
     configuration::Configuration,
     hosts::{
         Beacon,
         QueueLoad,
         ServiceLoad, //
     },
-    reactor::Reactor,
-    sharing::{
-        EndpointShare,
+    load_updates::{
+        EndpointLoadShare,
         Packet, //
-    }, //
+    },
+    reactor::Reactor,
+    store_replica::Update, //
 };
 
 /// Largest packet; it fits into one packet on common links.
@@ -43,7 +43,7 @@
 /// the platform's two seconds and the time on the way.
 const ANNOUNCEMENT_RETURN_MS: u64 = 2_200;
 /// Interval of beacons to one host of each other region.
-const AWAY_BEACON_INTERVAL_MS: u64 = 400;
+const REMOTE_BEACON_INTERVAL_MS: u64 = 400;
 
 impl Reactor {
     pub(super) fn apply_update(&mut self, update: Update) {
@@ -66,11 +66,11 @@
                         "endpoint announced"
                     );
                 }
-                if !self.fleet.announce(&id, announcement, now_ms) {
+                if !self.fleet.apply_announcement(&id, announcement, now_ms) {
                     tracing::warn!(endpoint = %id, "endpoint is in an unknown data centre");
                 }
             }
-            Update::EndpointGone(id) => {
+            Update::EndpointRemoved(id) => {
                 let delay_ms = self.withdrawal_delay_ms(now_ms);
                 tracing::info!(endpoint = %id, delay_ms, "endpoint is no longer announced");
                 self.fleet.withdraw(&id, now_ms + delay_ms);
@@ -85,11 +85,11 @@
                 tracing::info!(host = %info.name, "host registered");
                 self.hosts.register(info);
             }
-            Update::HostGone(name) => {
+            Update::HostRemoved(name) => {
                 tracing::info!(host = %name, "host is no longer registered");
                 self.hosts.unregister(&name);
             }
-            Update::Store(is_reachable) => {
+            Update::StoreReachable(is_reachable) => {
                 self.hosts.set_store_reachable(is_reachable);
                 self.store_back_ms = is_reachable.then_some(now_ms);
             }
@@ -152,7 +152,7 @@
             "stopping; requests in progress are finished"
         );
         self.leave_started_ms = Some(now_ms);
-        self.hosts.leave();
+        self.hosts.set_leaving();
         self.next_beacon_ms = 0;
         self.next_away_beacon_ms = 0;
     }
@@ -166,15 +166,15 @@
                 .clamp(MIN_BEACON_INTERVAL_MS, MAX_BEACON_INTERVAL_MS);
             self.next_beacon_ms = now_ms + interval_ms;
             if !peers.is_empty() {
-                let beacon = self.region_beacon();
+                let beacon = self.local_beacon();
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
         if now_ms >= self.next_away_beacon_ms {
-            self.next_away_beacon_ms = now_ms + AWAY_BEACON_INTERVAL_MS;
+            self.next_away_beacon_ms = now_ms + REMOTE_BEACON_INTERVAL_MS;
             let peers = self.one_host_of_each_region(now_ms);
             if !peers.is_empty() {
-                let beacon = self.away_beacon(now_ms);
+                let beacon = self.remote_beacon(now_ms);
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
@@ -202,8 +202,8 @@
     }
 
     fn known_revision(&self) -> u64 {
-        let belief = self.belief.as_ref();
-        belief.map_or(0, |belief| belief.revision().0)
+        let replica = self.replica.as_ref();
+        replica.map_or(0, |replica| replica.revision().0)
     }
 
     /// Asks a host for its news if it has known more for some time.
@@ -262,13 +262,13 @@
         }
     }
 
-    fn region_beacon(&mut self) -> Beacon {
+    fn local_beacon(&mut self) -> Beacon {
         let mut beacon = self.new_beacon();
         beacon.shares = self
             .fleet
             .iter()
-            .filter(|endpoint| endpoint.own.active > 0)
-            .map(|endpoint| EndpointShare::new(endpoint.hash, endpoint.own))
+            .filter(|endpoint| endpoint.own_load.active > 0)
+            .map(|endpoint| EndpointLoadShare::new(endpoint.hash, endpoint.own_load))
             .collect();
         beacon.queues = self.own_queues();
         beacon
@@ -287,7 +287,7 @@
         queues.filter(|queue| queue.work_ms > 0).collect()
     }
 
-    fn away_beacon(&mut self, now_ms: u64) -> Beacon {
+    fn remote_beacon(&mut self, now_ms: u64) -> Beacon {
         let mut beacon = self.new_beacon();
         let Some(configuration) = self.configuration.clone() else {
             return beacon;
@@ -337,7 +337,7 @@
     }
 
     /// Takes over what the other hosts of the region have at the endpoints.
-    pub(super) fn update_shares(&mut self, now_ms: u64) {
+    pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
         if now_ms < self.next_share_update_ms {
             return;
         }
@@ -347,9 +347,9 @@
         };
         self.next_share_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
-        let shares = self.hosts.shares_of_others(now_ms);
+        let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
-            .set_others(|hash| shares.get(&hash).copied().unwrap_or_default());
+            .set_peer_loads(|hash| shares.get(&hash).copied().unwrap_or_default());
     }
 
     pub(super) fn receive_beacons(&mut self) {
@@ -361,9 +361,11 @@
                 Ok((count, _)) => match postcard::from_bytes::<Packet>(&buffer[..count]) {
                     Ok(Packet::Beacon(beacon)) => {
                         self.compare_revision(&beacon, now_ms);
-                        is_changed |= self.hosts.hear(beacon, now_ms);
+                        is_changed |= self.hosts.apply_beacon(beacon, now_ms);
+                    }
+                    Ok(Packet::LoadUpdate(update)) => {
+                        is_changed |= self.apply_load_update(&update, now_ms)
                     }
-                    Ok(Packet::Update(update)) => is_changed |= self.hear_loads(&update, now_ms),
                     Err(error) => tracing::debug!(%error, "unreadable packet"),
                 },
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -2,14 +2,15 @@
 //!
 //! A datagram is a version byte, a `postcard` body and a 16-byte truncated
 //! HMAC-SHA256 over both under the cluster key. The tag is checked before the
-//! body is decoded, so only bytes written by a holder of the key reach the
-//! decoder.
+//! body is decoded, so only bytes written by a holder of the key are
+//! decoded.
 //!
-//! A sender numbers the datagrams of one run from 1 and stamps each with its
-//! clock. Incarnations are random, so the stamps order the runs of one host.
-//! A receiver remembers a window of sequence numbers for each host and keeps it
-//! twice as long as the oldest accepted stamp. A datagram is therefore either
-//! remembered or too old, and a replay is refused in both cases.
+//! A sender numbers the datagrams of one incarnation (one run of its process)
+//! from 1 and adds a timestamp of its clock to each. Incarnations are random, so
+//! the timestamps order the incarnations of one host. A receiver keeps a window of
+//! sequence numbers for each host, twice as long as the largest accepted age of a
+//! timestamp. A replayed datagram is therefore either in the window or too old,
+//! and is refused in both cases.
 
 use std::{
     collections::HashMap,
@@ -48,18 +49,19 @@
 
 /// Version of the datagram format.
 pub const WIRE_VERSION: u8 = 1;
-/// Longest datagram; fits the smallest common path MTU with tunnel headers.
+/// Largest datagram; fits the smallest common path MTU with tunnel headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Length of a truncated tag.
+/// Length of a truncated authentication tag.
 pub const TAG_BYTES: usize = 16;
-/// Largest accepted difference between a stamp and the local clock.
+/// Largest accepted difference between a timestamp and the local clock.
 pub const MAX_CLOCK_SKEW_MS: Millis = Millis(300_000);
-/// How long the replay window of a silent host is kept.
-const WINDOW_KEEP_MS: Millis = Millis(2 * MAX_CLOCK_SKEW_MS.0);
-/// Most hosts with a replay window; above the 3,700 hosts of the design size.
+/// How long the replay window of a host is kept after its last datagram.
+const REPLAY_WINDOW_TTL_MS: Millis = Millis(2 * MAX_CLOCK_SKEW_MS.0);
+/// Maximum number of replay windows, one for each host; above the 3,700 hosts that
+/// the system is designed for.
 pub const MAX_REPLAY_WINDOWS: usize = 8_192;
-/// How far behind the newest sequence number a datagram may arrive.
-const WINDOW_SEQUENCES: u64 = 128;
+/// How far behind the highest sequence number a datagram may be.
+const REPLAY_WINDOW_SEQUENCES: u64 = 128;
 
 type HmacSha256 = Hmac<Sha256>;
 
@@ -69,7 +71,7 @@
 /// Why a datagram was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The datagram is longer than any that hosts send.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("datagram of {bytes} bytes is too long: expected at most {MAX_DATAGRAM_BYTES}")]
     TooLong {
         /// Its length.
@@ -81,13 +83,13 @@
         /// The version byte.
         version: u8,
     },
-    /// The tag does not match; the sender has another key or bytes changed.
+    /// The tag does not match; the sender uses another key or bytes were altered.
     #[error("datagram tag does not match the cluster key")]
     BadTag,
-    /// The bytes are authentic but not a valid body.
+    /// The datagram is too short, or authentic with an invalid body.
     #[error("datagram body is malformed")]
     Malformed,
-    /// The sequence number was seen before or is older than the window.
+    /// The sequence number was received before or is older than the window.
     #[error("datagram {sequence} of host {sender} is a replay or too far behind")]
     Replayed {
         /// The host that wrote it.
@@ -95,20 +97,22 @@
         /// Its sequence number.
         sequence: u64,
     },
-    /// A newer run of the host has been heard.
-    #[error("datagram comes from the former run {incarnation} of host {sender}")]
+    /// A datagram of a newer incarnation of the host was received before.
+    #[error("datagram comes from the previous incarnation {incarnation} of host {sender}")]
     OldIncarnation {
         /// The host that wrote it.
         sender: HostId,
-        /// Its former run.
+        /// Its previous incarnation.
         incarnation: Incarnation,
     },
-    /// The stamp is too far from the local clock.
-    #[error("datagram of host {sender} is stamped {sent_ms}, too far from the local clock")]
+    /// The timestamp is too far from the local clock.
+    #[error(
+        "datagram of host {sender} has timestamp {sent_ms}: expected within {MAX_CLOCK_SKEW_MS} of the local clock"
+    )]
     ClockSkew {
         /// The host that wrote it.
         sender: HostId,
-        /// Its stamp.
+        /// Its timestamp.
         sent_ms: Millis,
     },
 }
@@ -129,12 +133,12 @@
         Self(Sha256::digest(secret).into())
     }
 
-    /// A key for one purpose, bound to `parts`.
+    /// Derives a subkey for one purpose, bound to `parts`.
     pub fn derive(&self, purpose: &str, parts: &[&[u8]]) -> Self {
-        Self(self.mac(&with_lengths(purpose, parts)))
+        Self(self.mac(&length_prefixed(purpose, parts)))
     }
 
-    /// The truncated tag of the concatenated parts.
+    /// Returns the truncated tag of the concatenated parts.
     pub fn tag(&self, parts: &[&[u8]]) -> Tag {
         let full = self.mac(parts);
         let mut tag = [0; TAG_BYTES];
@@ -142,7 +146,7 @@
         tag
     }
 
-    /// Compares a tag with the expected one in constant time.
+    /// Whether `tag` is the tag of the concatenated parts; compares in constant time.
     pub fn is_valid_tag(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         self.tag(parts)[..].ct_eq(tag).into()
     }
@@ -160,7 +164,7 @@
 }
 
 /// Prefixes each part with its length, so that no two lists of parts collide.
-fn with_lengths(purpose: &str, parts: &[&[u8]]) -> Vec<Vec<u8>> {
+fn length_prefixed(purpose: &str, parts: &[&[u8]]) -> Vec<Vec<u8>> {
     let all = std::iter::once(purpose.as_bytes()).chain(parts.iter().copied());
     all.map(|part| {
         let mut bytes = (part.len() as u64).to_be_bytes().to_vec();
@@ -170,137 +174,138 @@
     .collect()
 }
 
-/// A fact that hosts pass on in full.
+/// A record with all its fields, as hosts relay it unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Item {
-    /// What a host reports about itself.
+pub enum FullRecord {
+    /// State that a host reports about itself.
     Heartbeat(Heartbeat),
-    /// Report of an endpoint.
+    /// Load and state of an endpoint.
     Report(EndpointReport),
     /// Capacity and revision of one region.
     Summary(RegionSummary),
 }
 
-/// Short name of a host or endpoint run that the receiver knows in full.
+/// Four-byte hash that identifies a host, endpoint or region in compact records;
+/// the receiver needs the full record to resolve it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShortId(pub [u8; 4]);
 
-/// Unit of the short instants in a datagram; 64 of them fit one byte.
+/// Resolution of ages in compact records; ages below 64 ticks encode as one byte.
 pub const TICK_MS: Millis = Millis(100);
 
-/// The last tick at or before an instant.
+/// Rounds an instant down to a tick.
 pub fn tick_floor(instant_ms: Millis) -> Millis {
     Millis(instant_ms.0 / TICK_MS.0 * TICK_MS.0)
 }
 
-/// How many ticks `instant_ms` lies below `stamp_ms`.
-pub fn ticks_behind(stamp_ms: Millis, instant_ms: Millis) -> i64 {
-    let stamp = stamp_ms.0 / TICK_MS.0;
-    stamp.wrapping_sub(instant_ms.0 / TICK_MS.0) as i64
+/// Returns how many ticks `instant_ms` lies before `timestamp_ms`; negative if after.
+pub fn ticks_behind(timestamp_ms: Millis, instant_ms: Millis) -> i64 {
+    let timestamp = timestamp_ms.0 / TICK_MS.0;
+    timestamp.wrapping_sub(instant_ms.0 / TICK_MS.0) as i64
 }
 
-/// The instant that lies `ticks` below `stamp_ms`.
-pub fn ticks_before(stamp_ms: Millis, ticks: i64) -> Millis {
-    let stamp = stamp_ms.0 / TICK_MS.0;
-    let tick = stamp.saturating_add_signed(ticks.saturating_neg());
+/// Returns the instant that lies `ticks` before `timestamp_ms`.
+pub fn ticks_before(timestamp_ms: Millis, ticks: i64) -> Millis {
+    let timestamp = timestamp_ms.0 / TICK_MS.0;
+    let tick = timestamp.saturating_add_signed(ticks.saturating_neg());
     Millis(tick.saturating_mul(TICK_MS.0))
 }
 
-/// Newest short heartbeat of a host, without its unchanged description.
+/// Newest heartbeat of a host, reduced to the fields that change often.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
-    /// The host's run.
+pub struct CompactHeartbeat {
+    /// Identifies the host and its incarnation.
     pub id: ShortId,
-    /// Heartbeat sequence, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
-    /// Revision in force there, as the distance below the sender's.
-    pub behind_revisions: i64,
+    /// Heartbeat sequence, in ticks before the datagram's timestamp.
+    pub age_ticks: i64,
+    /// Revision in force there, as the difference below the sender's.
+    pub revision_lag: i64,
     /// Requests in progress there.
     pub open_requests: u32,
 }
 
-/// Newest load of an endpoint, without its unchanged description.
+/// Newest report of an endpoint, reduced to its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
-    /// The endpoint's run.
+pub struct CompactReport {
+    /// Identifies the endpoint and its incarnation.
     pub id: ShortId,
-    /// When it was measured, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
-    /// Requests that it runs.
+    /// When it was measured, in ticks before the datagram's timestamp.
+    pub age_ticks: i64,
+    /// Requests that the endpoint runs.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests that are queued in the endpoint.
     pub waiting: u32,
-    /// Used share of its cache, in thousandths.
+    /// Used share of its KV cache, in thousandths.
     pub cache_permille: u16,
 }
 
-/// Newest state of a region, without its unchanged description.
+/// Newest summary of a region, reduced to the fields that change often.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegionBeat {
-    /// The region with its targets, slots and hosts.
+pub struct CompactSummary {
+    /// Identifies the region with its targets, slots and hosts.
     pub id: ShortId,
-    /// When it was made, in ticks below the datagram's stamp.
-    pub behind_ticks: i64,
-    /// Lowest revision there, as the distance below the sender's own.
-    pub behind_revisions: i64,
-    /// Requests that its endpoints run or hold, in the order of its targets.
+    /// When the summary was made, in ticks before the datagram's timestamp.
+    pub age_ticks: i64,
+    /// Lowest revision there, as the difference below the sender's own.
+    pub revision_lag: i64,
+    /// Requests that its endpoints run or queue, in the order of its targets.
     pub busy: Vec<u32>,
 }
 
-/// What one datagram says.
+/// Content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Body {
+pub struct DatagramBody {
     /// Revision that the sender has in force.
     pub revision: Revision,
-    /// Facts in full.
-    pub items: Vec<Item>,
-    /// Short heartbeats of hosts in the sender's region.
-    pub beats: Vec<Beat>,
-    /// Loads of endpoints in the sender's region.
-    pub loads: Vec<Load>,
-    /// States of regions.
-    pub regions: Vec<RegionBeat>,
-    /// Short names that the sender asks the receiver to spell out.
-    pub wanted: Vec<ShortId>,
+    /// Full records.
+    pub full_records: Vec<FullRecord>,
+    /// Compact heartbeats of hosts in the sender's region.
+    pub heartbeats: Vec<CompactHeartbeat>,
+    /// Compact reports of endpoints in the sender's region.
+    pub reports: Vec<CompactReport>,
+    /// Compact summaries of regions.
+    pub summaries: Vec<CompactSummary>,
+    /// Short identifiers of the full records that the sender requests.
+    pub requested_ids: Vec<ShortId>,
 }
 
-/// Who wrote a datagram, and when.
+/// Sender and time of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Header {
-    /// The host.
+pub struct DatagramHeader {
+    /// The host that wrote it.
     pub sender: HostId,
-    /// Its current run.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Counts the datagrams of this run from 1.
+    /// Counts the datagrams of this incarnation from 1.
     pub sequence: u64,
-    /// The sender's clock.
+    /// When it was sent, by the sender's clock.
     pub sent_ms: Millis,
 }
 
 /// An authenticated datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who wrote it.
-    pub header: Header,
-    /// What it says.
-    pub body: Body,
+    /// Sender and time.
+    pub header: DatagramHeader,
+    /// Content.
+    pub body: DatagramBody,
 }
 
-/// Writes the datagrams of one run.
+/// Encodes and tags the datagrams of one incarnation.
 #[derive(Debug)]
-pub struct Sealer {
+pub struct DatagramEncoder {
     key: ClusterKey,
-    header: Header,
+    header: DatagramHeader,
 }
 
-impl Sealer {
-    /// Starts at sequence number 1.
+impl DatagramEncoder {
+    /// Creates an encoder that starts at sequence number 1.
     pub fn new(key: &ClusterKey, sender: HostId, incarnation: Incarnation) -> Self {
         Self {
             key: datagram_key(key),
-            header: Header {
+            header: DatagramHeader {
                 sender,
                 incarnation,
                 sequence: 0,
@@ -309,9 +314,9 @@
         }
     }
 
-    /// Room for a body in one datagram.
-    pub fn body_room_bytes(&self, now_ms: Millis) -> usize {
-        let next = Header {
+    /// Returns the largest size of a body that fits the next datagram.
+    pub fn max_body_bytes(&self, now_ms: Millis) -> usize {
+        let next = DatagramHeader {
             sequence: self.header.sequence + 1,
             sent_ms: now_ms,
             ..self.header.clone()
@@ -321,7 +326,9 @@
     }
 
     /// Encodes and tags one datagram.
-    pub fn seal(&mut self, now_ms: Millis, body: Body) -> Result<Vec<u8>, WireError> {
+    ///
+    /// Fails if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
+    pub fn encode(&mut self, now_ms: Millis, body: DatagramBody) -> Result<Vec<u8>, WireError> {
         self.header.sequence += 1;
         self.header.sent_ms = now_ms;
         let datagram = Datagram {
@@ -343,29 +350,29 @@
     key.derive("cardamombridge datagram", &[])
 }
 
-/// How many datagrams were accepted, or refused for which reason.
+/// Numbers of accepted datagrams, and of refused ones by reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WireCounts {
     /// Accepted.
     pub accepted: u64,
-    /// Longer than any that hosts send.
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     pub too_long: u64,
-    /// Of another version.
+    /// With another format version.
     pub bad_version: u64,
     /// With a tag that does not match.
     pub bad_tag: u64,
-    /// Authentic, but with an invalid body.
+    /// Too short, or authentic with an invalid body.
     pub malformed: u64,
-    /// Seen before or too far behind.
+    /// Received before, or with a sequence number below the window.
     pub replayed: u64,
-    /// From a former run of the host.
+    /// From a previous incarnation of the host.
     pub old_incarnation: u64,
-    /// Stamped too far from the local clock.
+    /// With a timestamp too far from the local clock.
     pub clock_skew: u64,
 }
 
 impl WireCounts {
-    /// All datagrams that were looked at.
+    /// All datagrams, accepted or refused.
     pub fn total(&self) -> u64 {
         self.accepted + self.refused()
     }
@@ -391,98 +398,100 @@
     }
 }
 
-/// Sequence numbers seen of one host's newest run.
+/// Sequence numbers received from the newest incarnation of one host.
 #[derive(Debug)]
 struct ReplayWindow {
     incarnation: Incarnation,
-    highest: u64,
-    /// Bit `n` is set if `highest - n` was seen.
-    seen: u128,
+    highest_sequence: u64,
+    /// Bit `n` is set if `highest_sequence - n` was received.
+    seen_bits: u128,
     newest_sent_ms: Millis,
-    heard_ms: Millis,
+    last_received_ms: Millis,
 }
 
 impl ReplayWindow {
-    fn new(header: &Header, now_ms: Millis) -> Self {
+    fn new(header: &DatagramHeader, now_ms: Millis) -> Self {
         Self {
             incarnation: header.incarnation,
-            highest: header.sequence,
-            seen: 1,
+            highest_sequence: header.sequence,
+            seen_bits: 1,
             newest_sent_ms: header.sent_ms,
-            heard_ms: now_ms,
+            last_received_ms: now_ms,
         }
     }
 
-    /// Records a sequence number; false if it was seen or is too far behind.
-    fn admit(&mut self, sequence: u64) -> bool {
-        if sequence > self.highest {
-            let ahead = sequence - self.highest;
-            self.seen = match ahead {
-                0..WINDOW_SEQUENCES => self.seen << ahead | 1,
+    /// Records a sequence number; returns false if it was received before or is too
+    /// far behind.
+    fn accept_sequence(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest_sequence {
+            let ahead = sequence - self.highest_sequence;
+            self.seen_bits = match ahead {
+                0..REPLAY_WINDOW_SEQUENCES => self.seen_bits << ahead | 1,
                 _ => 1,
             };
-            self.highest = sequence;
+            self.highest_sequence = sequence;
             return true;
         }
-        let behind = self.highest - sequence;
-        if behind >= WINDOW_SEQUENCES {
+        let behind = self.highest_sequence - sequence;
+        if behind >= REPLAY_WINDOW_SEQUENCES {
             return false;
         }
         let bit = 1u128 << behind;
-        let is_new = self.seen & bit == 0;
-        self.seen |= bit;
+        let is_new = self.seen_bits & bit == 0;
+        self.seen_bits |= bit;
         is_new
     }
 }
 
-/// Checks and decodes datagrams of other hosts.
+/// Authenticates and decodes datagrams of other hosts.
 #[derive(Debug)]
-pub struct Opener {
+pub struct DatagramDecoder {
     key: ClusterKey,
-    own: HostId,
+    own_host: HostId,
     windows: HashMap<HostId, ReplayWindow>,
     max_windows: usize,
     counts: WireCounts,
 }
 
-impl Opener {
-    /// Has heard nobody yet; datagrams written by `own` are refused.
-    pub fn new(key: &ClusterKey, own: HostId) -> Self {
+impl DatagramDecoder {
+    /// Creates a decoder without replay windows; datagrams that `own_host` sent are
+    /// refused.
+    pub fn new(key: &ClusterKey, own_host: HostId) -> Self {
         Self {
             key: datagram_key(key),
-            own,
+            own_host,
             windows: HashMap::new(),
             max_windows: MAX_REPLAY_WINDOWS,
             counts: WireCounts::default(),
         }
     }
 
-    /// The same with another bound on remembered hosts.
+    /// Sets the maximum number of replay windows.
     pub fn with_max_windows(mut self, max_windows: usize) -> Self {
         self.max_windows = max_windows;
         self
     }
 
-    /// What was accepted and refused so far.
+    /// Returns the numbers of accepted and refused datagrams so far.
     pub fn counts(&self) -> WireCounts {
         self.counts
     }
 
-    /// Hosts with a replay window.
+    /// Returns the number of hosts with a replay window.
     pub fn window_count(&self) -> usize {
         self.windows.len()
     }
 
-    /// Checks, decodes and counts one datagram.
-    pub fn open(&mut self, now_ms: Millis, bytes: &[u8]) -> Result<Datagram, WireError> {
+    /// Authenticates, decodes and counts one datagram, and refuses replays.
+    pub fn decode(&mut self, now_ms: Millis, bytes: &[u8]) -> Result<Datagram, WireError> {
         let result = self
-            .decode(bytes)
-            .and_then(|datagram| self.admit(now_ms, datagram));
+            .verify_and_decode(bytes)
+            .and_then(|datagram| self.check_replay(now_ms, datagram));
         self.counts.count(&result);
         result
     }
 
-    fn decode(&self, bytes: &[u8]) -> Result<Datagram, WireError> {
+    fn verify_and_decode(&self, bytes: &[u8]) -> Result<Datagram, WireError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(WireError::TooLong { bytes: bytes.len() });
         }
@@ -503,7 +512,7 @@
         }
     }
 
-    fn admit(&mut self, now_ms: Millis, datagram: Datagram) -> Result<Datagram, WireError> {
+    fn check_replay(&mut self, now_ms: Millis, datagram: Datagram) -> Result<Datagram, WireError> {
         let header = &datagram.header;
         let sender = || header.sender.clone();
         let skew = Millis(now_ms.0.abs_diff(header.sent_ms.0));
@@ -517,16 +526,16 @@
             sender: sender(),
             sequence: header.sequence,
         };
-        if header.sender == self.own {
+        if header.sender == self.own_host {
             return Err(replayed());
         }
         match self.windows.get_mut(&header.sender) {
             Some(window) if window.incarnation == header.incarnation => {
-                if !window.admit(header.sequence) {
+                if !window.accept_sequence(header.sequence) {
                     return Err(replayed());
                 }
                 window.newest_sent_ms = window.newest_sent_ms.max(header.sent_ms);
-                window.heard_ms = now_ms;
+                window.last_received_ms = now_ms;
             }
             Some(window) if header.sent_ms <= window.newest_sent_ms => {
                 return Err(WireError::OldIncarnation {
@@ -536,20 +545,20 @@
             }
             _ => {
                 let window = ReplayWindow::new(header, now_ms);
-                self.make_room(now_ms, &header.sender);
+                self.evict_windows(now_ms, &header.sender);
                 self.windows.insert(header.sender.clone(), window);
             }
         }
         Ok(datagram)
     }
 
-    fn make_room(&mut self, now_ms: Millis, sender: &HostId) {
+    fn evict_windows(&mut self, now_ms: Millis, sender: &HostId) {
         self.windows
-            .retain(|_, window| now_ms - window.heard_ms <= WINDOW_KEEP_MS);
+            .retain(|_, window| now_ms - window.last_received_ms <= REPLAY_WINDOW_TTL_MS);
         if self.windows.len() < self.max_windows || self.windows.contains_key(sender) {
             return;
         }
-        let oldest = self.windows.iter().min_by_key(|(_, w)| w.heard_ms);
+        let oldest = self.windows.iter().min_by_key(|(_, w)| w.last_received_ms);
         if let Some(oldest) = oldest.map(|(host, _)| host.clone()) {
             self.windows.remove(&oldest);
         }
