--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,8 +1,8 @@
-//! Exchanges that this host starts with others, over pooled connections.
+//! Client for requests to other hosts, over pooled connections.
 //!
-//! Connecting and the handshake come before an exchange, so that a failure
-//! there provably sends nothing of the request. A connection goes back to the
-//! pool only after the final frame of its exchange.
+//! The connection and its handshake are complete before a request is sent, so if
+//! they fail, certainly nothing of the request was sent. A connection returns to
+//! the pool only after the final frame of its exchange.
 
 use std::{
     collections::HashMap,
@@ -56,62 +56,63 @@
     types::HostId, //
 };
 
-/// Most connections to one host, in use or idle.
+/// Maximum number of connections to one host in use, and of idle ones in its pool.
 pub const MAX_CONNECTIONS_PER_HOST: usize = 64;
-/// Idle connections are closed after this time. The server keeps them longer,
-/// so that it does not close one that is about to be used.
+/// Idle connections are closed after this time. The server's timeout is longer, so
+/// that it does not close a connection that the client is about to use.
 pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for the frame that tells the other host to stop.
+/// Timeout for sending the cancellation frame.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request that could not be sent whole.
+/// Failure to send a complete request.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No byte of it was sent.
-    #[error("nothing was sent: {error}")]
+    /// No byte of the request was sent.
+    #[error("could not send the request, no byte was sent: {error}")]
     NotSent {
-        /// The request may be sent elsewhere.
+        /// Proof that the request may be sent to another host.
         unsent: Unsent,
-        /// Why.
+        /// Cause.
         #[source]
         error: LinkError,
     },
-    /// Part of it may have arrived.
-    #[error("the request was sent in part: {error}")]
+    /// Part of the request may have arrived.
+    #[error("could not send the complete request, part of it was sent: {error}")]
     PartlySent {
-        /// The request may have run.
+        /// Marks that the request may have run.
         sent: Sent,
-        /// Why.
+        /// Cause.
         #[source]
         error: LinkError,
     },
 }
 
-/// Why a question to another host has no answer.
+/// Failure of a request to another host.
 #[derive(Debug, Error)]
 pub enum PeerRequestError {
-    /// The other host could not be used.
+    /// The connection could not be established, or failed while the response was
+    /// read.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The question could not be sent.
+    /// The request could not be sent.
     #[error(transparent)]
     Send(#[from] SendError),
 }
 
-/// A question that another host answers as a whole.
+/// A request whose response is read completely before it is returned.
 #[derive(Debug)]
 pub struct PeerRequest<'a> {
-    /// The host.
+    /// Host to send the request to.
     pub host: &'a HostId,
     /// Its address for other hosts.
     pub address: SocketAddr,
-    /// The request.
+    /// Request frame.
     pub frame: &'a Frame,
     /// Body of the request.
     pub body: &'a [u8],
-    /// Longest answer that is accepted.
+    /// Largest accepted payload of the response, over all its frames.
     pub max_response_bytes: usize,
-    /// When the answer is of no use any more.
+    /// Deadline for the complete response.
     pub deadline: Instant,
 }
 
@@ -127,7 +128,8 @@
 }
 
 impl Pools {
-    /// A panic while the lock was held leaves at worst a wrong count.
+    /// Locks the pools. A poisoned lock is used on: a panic while it was held leaves
+    /// at worst a wrong count.
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, HostPool>> {
         self.by_address
             .lock()
@@ -135,7 +137,7 @@
     }
 }
 
-/// Counts one connection in use until it is dropped.
+/// Counts one connection as in use until it is dropped.
 #[derive(Debug)]
 struct Slot {
     pools: Arc<Pools>,
@@ -155,7 +157,7 @@
     }
 }
 
-/// Starts exchanges with other hosts.
+/// Sends requests to other hosts.
 #[derive(Debug, Clone)]
 pub struct PeerClient {
     key: ClusterKey,
@@ -166,7 +168,7 @@
 }
 
 impl PeerClient {
-    /// No connections yet.
+    /// Creates a client without connections.
     pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
@@ -179,28 +181,27 @@
         }
     }
 
-    /// The same with another limit of connections to one host.
+    /// Sets the maximum number of connections to one host in use.
     pub fn with_max_connections(mut self, max_connections: usize) -> Self {
         self.max_connections = max_connections;
         self
     }
 
-    /// The same with connections that come from `source_address`, for a host with several
-    /// addresses.
+    /// Sets the local address of connections, for a host with several addresses.
     pub fn with_source_address(mut self, source_address: IpAddr) -> Self {
         self.source_address = Some(source_address);
         self
     }
 
-    /// Idle connections to one address.
+    /// Returns the number of idle connections to one address.
     pub fn idle_connections(&self, address: SocketAddr) -> usize {
         self.pools.lock().get(&address).map_or(0, |p| p.idle.len())
     }
 
-    /// Asks a question and reads the whole answer.
+    /// Sends a request and reads its complete response.
     ///
-    /// For questions that may be repeated, or whose asker takes any failure as an
-    /// unknown outcome.
+    /// Errors do not say whether the request ran, so it must be one that may be
+    /// repeated, or the caller must treat any failure as an unknown outcome.
     pub fn request(&self, request: &PeerRequest<'_>) -> Result<Message, PeerRequestError> {
         let deadline = request.deadline;
         let ready = self.acquire(Some(request.host), request.address, deadline)?;
@@ -208,9 +209,11 @@
         Ok(exchange.collect(request.max_response_bytes, deadline)?)
     }
 
-    /// Gets a live connection without sending any part of a request.
+    /// Takes an idle connection from the pool or opens one, without sending any part
+    /// of a request.
     ///
-    /// With `host`, a connection to any other host is refused.
+    /// Fails if `host` is given and another host answers at `address`, if all
+    /// connections are in use, or if connecting or the handshake fails.
     pub fn acquire(
         &self,
         host: Option<&HostId>,
@@ -254,7 +257,8 @@
         })
     }
 
-    /// The connection used last, which is the least likely to have been closed.
+    /// Takes the most recently used idle connection, which is the least likely to
+    /// have been closed.
     fn take_idle_link(&self, address: SocketAddr) -> Option<Link> {
         let mut pools = self.pools.lock();
         let pool = pools.get_mut(&address)?;
@@ -263,7 +267,7 @@
         pool.idle.pop().map(|(link, _)| link)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for [`CLIENT_IDLE_TIMEOUT`].
     pub fn close_idle(&self) {
         let mut pools = self.pools.lock();
         for pool in pools.values_mut() {
@@ -285,7 +289,7 @@
     }
 }
 
-/// A live connection on which nothing of a request was sent.
+/// An established connection on which no request is in progress.
 #[derive(Debug)]
 pub struct ReadyConnection {
     link: Link,
@@ -300,7 +304,8 @@
 
     /// Sends a request frame and its body.
     ///
-    /// The body must have the length that the frame announces.
+    /// The body must have the length that the frame states. Errors say whether any
+    /// byte was sent.
     pub fn send(
         mut self,
         unsent: Unsent,
@@ -338,12 +343,12 @@
 
     fn check(&self, request: &Frame, body: &[u8]) -> Result<(), LinkError> {
         if !request.is_request() {
-            return Err(LinkError::Unexpected(
-                "the frame does not start an exchange",
-            ));
+            return Err(LinkError::Unexpected("the frame is not a request"));
         }
         if request.body_bytes().0 != body.len() as u64 {
-            return Err(LinkError::Unexpected("the body has another length"));
+            return Err(LinkError::Unexpected(
+                "the body does not have the length that the request states",
+            ));
         }
         if body.len() > MAX_BODY_BYTES {
             return Err(LinkError::TooLong {
@@ -358,10 +363,10 @@
     }
 }
 
-/// A request that was sent and whose answer is being read.
+/// A sent request whose response is being read.
 ///
-/// Dropping it before its final frame closes the connection, which the other
-/// host takes as a cancellation.
+/// Dropping it before the final frame closes the connection, which the other host
+/// treats as a cancellation.
 #[derive(Debug)]
 pub struct Exchange {
     link: Option<Link>,
@@ -370,7 +375,7 @@
 }
 
 impl Exchange {
-    /// Reads the next answer frame; after a final one the connection returns to
+    /// Reads the next response frame; after the final one the connection returns to
     /// the pool. A read that timed out may be repeated, other errors are final.
     pub fn next_message(&mut self, deadline: Instant) -> Result<Message, LinkError> {
         let link = self.link.as_mut().ok_or(LinkError::Closed)?;
@@ -382,21 +387,22 @@
             }
             Ok(message) => message,
         };
-        let is_answer = matches!(
+        let is_partial_response = matches!(
             message.frame,
             Frame::ResponseHead { .. } | Frame::ResponseBody
         );
         if message.frame.is_final() {
             self.return_to_pool();
-        } else if !is_answer {
+        } else if !is_partial_response {
             self.link = None;
-            return Err(LinkError::Unexpected("the frame is not part of an answer"));
+            return Err(LinkError::Unexpected("the frame is not part of a response"));
         }
         Ok(message)
     }
 
-    /// Reads until the final frame and joins the bytes beside the frames, up to
-    /// `limit_bytes`.
+    /// Reads until the final frame and concatenates the payloads.
+    ///
+    /// Fails if they exceed `limit_bytes`.
     pub fn collect(&mut self, limit_bytes: usize, deadline: Instant) -> Result<Message, LinkError> {
         let mut payload = Vec::new();
         loop {
@@ -416,20 +422,19 @@
         }
     }
 
-    /// Tells the other host to stop and closes the connection.
+    /// Sends a cancellation and closes the connection.
     pub fn cancel(mut self) -> Sent {
         if let Some(mut link) = self.link.take() {
             let deadline = Instant::now() + CANCEL_TIMEOUT;
             if let Err(error) = link.write_frame(&Frame::Cancel, &[], deadline) {
-                tracing::debug!(%error, "could not send a cancellation");
+                tracing::debug!(%error, "could not send a cancellation; closing the connection");
             }
             let _ = link.stream().shutdown(Shutdown::Both);
         }
         self.sent
     }
 
-    /// Ends the use of the exchange; closes the connection unless its final
-    /// frame was read.
+    /// Ends the exchange; closes the connection unless the final frame was read.
     pub fn finish(self) -> Sent {
         self.sent
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,12 +1,12 @@
 //! One authenticated TCP connection between two hosts.
 //!
-//! Both sides send a random nonce and prove that they hold the cluster key. The
-//! session key covers both nonces, hosts and incarnations. Each frame carries a
-//! tag over its direction, its number in that direction and its content, so
-//! that frames cannot be forged, repeated, reordered or moved between
-//! connections.
+//! In the handshake, both sides send a random nonce and prove that they hold the
+//! cluster key. The session key is derived from both nonces, hosts and
+//! incarnations. Each frame carries a tag over its direction, its number in that
+//! direction and its content, so that frames cannot be forged, replayed, reordered
+//! or moved between connections.
 //!
-//! A frame is a 4-byte length, the `postcard` envelope, the bytes beside it and
+//! A frame on the wire is a 4-byte length, the `postcard` envelope, the payload and
 //! the tag. A read that times out can be repeated without loss.
 
 use std::{
@@ -47,16 +47,16 @@
 
 /// Version of the frame format.
 pub const LINK_VERSION: u8 = 1;
-/// Time for the handshake, including the connection.
+/// Timeout for connecting and the handshake together.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Room for an envelope next to a full piece: a forwarded head with 4,096
-/// prefix hashes and 16 KiB of header fields fits.
+/// Largest envelope beside a payload of maximum size. The head of a forwarded
+/// request with 4,096 prefix hashes and 16 KiB of header fields fits.
 const MAX_ENVELOPE_BYTES: usize = 64 * 1024;
 const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
 const MAX_HANDSHAKE_BYTES: usize = 512;
 const LENGTH_BYTES: usize = 4;
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// The kernel rejects a timeout of zero.
+/// Shortest socket timeout; the standard library rejects a timeout of zero.
 const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why an exchange with another host failed.
@@ -71,8 +71,8 @@
     /// The other host closed the connection.
     #[error("connection closed by the other host")]
     Closed,
-    /// A frame is longer than accepted.
-    #[error("frame of {bytes} bytes is too long: expected at most {limit_bytes}")]
+    /// A frame, request body or response is longer than accepted.
+    #[error("message of {bytes} bytes is too long: expected at most {limit_bytes}")]
     TooLong {
         /// Its length.
         bytes: usize,
@@ -85,33 +85,33 @@
     /// The bytes are authentic but not a valid frame.
     #[error("frame is malformed")]
     Malformed,
-    /// The other host speaks another version.
+    /// The other host uses another version of the frame format.
     #[error("link version {version} is not supported: expected {LINK_VERSION}")]
     BadVersion {
         /// Its version.
         version: u8,
     },
-    /// The other host does not hold the same cluster key.
-    #[error("the other host does not prove that it holds the cluster key")]
+    /// The other host uses another cluster key.
+    #[error("the other host did not prove that it holds the cluster key")]
     WrongKey,
     /// Another host answers at the address.
     #[error("host {found} answers: expected host {expected}")]
     WrongHost {
-        /// The host that was meant.
+        /// The host that should be at the address.
         expected: HostId,
         /// The host that answers.
         found: HostId,
     },
-    /// A frame belongs to another exchange.
+    /// A frame belongs to another exchange than the current one.
     #[error("frame belongs to exchange {found}: expected exchange {expected}")]
     WrongExchange {
         /// Number of the current exchange.
         expected: u64,
-        /// Number in the frame.
+        /// Number that the frame carries.
         found: u64,
     },
-    /// The frame has no place at this point of an exchange.
-    #[error("frame is not expected at this point: {0}")]
+    /// A frame violates the protocol, or the request cannot be served.
+    #[error("exchange failed: {0}")]
     Unexpected(&'static str),
     /// All connections to the host are in use.
     #[error("all {limit} connections to the host are in use")]
@@ -133,23 +133,23 @@
     }
 }
 
-/// A frame that could not be written whole.
+/// Failure to write a complete frame.
 #[derive(Debug, Error)]
 #[error("could not write the frame after {written} bytes: {error}")]
 pub struct WriteError {
-    /// Bytes that the kernel took.
+    /// Bytes that the kernel accepted.
     pub written: usize,
-    /// Why the rest was not written.
+    /// Why the remaining bytes were not written.
     #[source]
     pub error: LinkError,
 }
 
-/// A host and its current run.
+/// A host and its current incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerIdentity {
     /// The host.
     pub host: HostId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -173,7 +173,7 @@
 }
 
 impl Side {
-    /// Marks the direction of frames that this side writes.
+    /// Label of the direction in which this side writes, for authentication tags.
     fn direction(self) -> &'static [u8] {
         match self {
             Self::Client => b"c",
@@ -211,12 +211,12 @@
     peer: PeerIdentity,
     frames_written: u64,
     frames_read: u64,
-    /// Number of the latest exchange; the client counts from 1.
+    /// Number of the newest exchange; the first one has number 1.
     pub(super) exchange_number: u64,
 }
 
 impl Link {
-    /// Proves both sides to each other as the connecting side.
+    /// Performs the handshake as the client, which authenticates both sides.
     pub fn connect(
         stream: TcpStream,
         key: &ClusterKey,
@@ -245,7 +245,7 @@
         ))
     }
 
-    /// Proves both sides to each other as the accepting side.
+    /// Performs the handshake as the server, which authenticates both sides.
     pub fn accept(
         stream: TcpStream,
         key: &ClusterKey,
@@ -299,7 +299,7 @@
         &self.peer
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
@@ -407,7 +407,8 @@
         !self.buffer.is_empty()
     }
 
-    /// Whether the other side is silent and has not closed the connection.
+    /// Whether the connection is open and no bytes from the other side wait to be
+    /// read.
     pub fn is_idle(&self) -> bool {
         if !self.buffer.is_empty() || self.stream.set_nonblocking(true).is_err() {
             return false;
@@ -418,7 +419,7 @@
     }
 }
 
-/// Keys of one handshake, bound to both hellos.
+/// Keys of one connection, derived from the hello messages of both sides.
 struct HandshakeKeys {
     client_proof_key: ClusterKey,
     server_proof_key: ClusterKey,
@@ -493,7 +494,8 @@
     }
 }
 
-/// Removes one whole frame from the front of `buffer`, without its length.
+/// Removes one complete frame from the front of `buffer`; returns it without its
+/// length prefix.
 fn take_frame(buffer: &mut Vec<u8>, limit_bytes: usize) -> Result<Option<Vec<u8>>, LinkError> {
     let Some(length) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -549,7 +551,7 @@
     Ok(())
 }
 
-/// Time left until `deadline`.
+/// Returns the time left until `deadline`, or [`LinkError::TimedOut`] if it passed.
 pub(super) fn remaining(deadline: Instant) -> Result<Duration, LinkError> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,8 +1,8 @@
-//! Exchanges that other hosts start with this one.
+//! Server for requests of other hosts.
 //!
 //! Each connection has a thread that reads one request after the other and
-//! calls the handler with the exchange. The connection is used again only after
-//! the handler has read the whole body and sent the final frame.
+//! calls the handler with the exchange. The connection is reused only after the
+//! handler has read the complete body and sent the final frame.
 
 use std::{
     collections::HashMap,
@@ -48,18 +48,19 @@
 };
 use crate::types::HostId;
 
-/// Connections without a request are closed after this time.
+/// Idle connections are closed after this time.
 pub const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for the rest of a request frame once its first byte is there.
+/// Timeout for the rest of a request frame after its first byte, and for the
+/// response to a ping.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a waiting connection looks at the stop signal.
+/// Interval at which idle connections check whether the server is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Most connections from all hosts.
+/// Maximum number of connections from all hosts together.
 const MAX_CONNECTIONS: usize = 1_024;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONNECTION_STACK_BYTES: usize = 512 * 1024;
 
-/// How many connections and exchanges there were.
+/// Numbers of connections and exchanges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServerCounts {
     /// Connections that are open now.
@@ -70,7 +71,7 @@
     pub failed_handshakes: u64,
     /// Exchanges that ended with a final frame.
     pub completed_exchanges: u64,
-    /// Connections that were closed because of an error or inside an exchange.
+    /// Connections that were closed because of an error or during an exchange.
     pub broken_connections: u64,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl PeerServer {
-    /// Not serving yet.
+    /// Creates a server; [`PeerServer::run`] starts serving.
     pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
@@ -111,13 +112,13 @@
         }
     }
 
-    /// The same with another limit of connections from one host.
+    /// Sets the maximum number of connections from one host.
     pub fn with_max_connections_per_host(mut self, max_connections_per_host: usize) -> Self {
         self.max_connections_per_host = max_connections_per_host;
         self
     }
 
-    /// Totals so far.
+    /// Returns the totals so far.
     pub fn counts(&self) -> ServerCounts {
         let counters = &self.counters;
         ServerCounts {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Accepts connections until stopped; `handler` runs on the connection's
-    /// thread and must end each exchange with a final frame.
+    /// Accepts connections until [`PeerServer::stop`] is called. `handler` runs on
+    /// the connection's thread and must end each exchange with a final frame.
     pub fn run<H>(self: &Arc<Self>, listener: &TcpListener, handler: H)
     where
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError> + Send + Sync + 'static,
@@ -140,20 +141,20 @@
             match listener.accept() {
                 Ok((stream, address)) => self.spawn_connection(stream, address, &handler),
                 Err(error) => {
-                    tracing::warn!(%error, "could not accept a connection of a host");
+                    tracing::warn!(%error, "could not accept a connection from another host; retrying after a short delay");
                     thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Stops accepting on `address`; exchanges in progress go on, waiting
-    /// connections are closed.
+    /// Stops the server that accepts on `address`. Exchanges in progress continue,
+    /// idle connections are closed.
     pub fn stop(&self, address: SocketAddr) {
         self.is_stopping.store(true, Ordering::Release);
-        // The blocking accept returns only for a connection.
+        // A connection of its own unblocks the thread that waits in `accept`.
         if let Err(error) = TcpStream::connect_timeout(&address, STOP_CHECK_INTERVAL) {
-            tracing::debug!(%error, "could not wake the peer acceptor");
+            tracing::debug!(%error, "could not connect to unblock the peer acceptor; it stops at the next connection");
         }
     }
 
@@ -178,7 +179,7 @@
             .stack_size(CONNECTION_STACK_BYTES)
             .spawn(move || slot.0.serve(stream, address, &*handler));
         if let Err(error) = started {
-            tracing::warn!(%error, "could not start a peer connection thread");
+            tracing::warn!(%error, "could not start a thread for a connection from another host; closing the connection");
         }
     }
 
@@ -191,7 +192,7 @@
             Ok(link) => link,
             Err(error) => {
                 increment(&self.counters.failed_handshakes);
-                tracing::debug!(%error, %address, "handshake with a host failed");
+                tracing::debug!(%error, %address, "handshake with another host failed; closing the connection");
                 return;
             }
         };
@@ -201,7 +202,7 @@
         };
         if let Err(error) = self.serve_link(&mut link, handler) {
             increment(&self.counters.broken_connections);
-            tracing::debug!(%error, host = %link.peer().host, "connection of a host broke");
+            tracing::debug!(%error, host = %link.peer().host, "connection from another host failed; closing it");
         }
     }
 
@@ -235,7 +236,8 @@
         Ok(())
     }
 
-    /// The next request, or nothing if the connection ends between requests.
+    /// Returns the next request, or `None` if the connection ends between requests
+    /// or the server is stopping.
     fn next_request(&self, link: &mut Link) -> Result<Option<Frame>, LinkError> {
         let idle_deadline = Instant::now() + SERVER_IDLE_TIMEOUT;
         let mut frame_deadline = None;
@@ -265,7 +267,8 @@
     }
 
     fn connections_by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
-        // A panic while the lock was held leaves at worst a wrong count.
+        // A poisoned lock is used on: a panic while it was held leaves at worst a
+        // wrong count.
         self.connections_by_host
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -294,9 +297,7 @@
         });
     }
     if !message.frame.is_request() || !message.payload.is_empty() {
-        return Err(LinkError::Unexpected(
-            "the frame does not start an exchange",
-        ));
+        return Err(LinkError::Unexpected("the frame is not a request"));
     }
     let body_bytes = message.frame.body_bytes().0;
     if body_bytes > MAX_BODY_BYTES as u64 {
@@ -309,15 +310,17 @@
     Ok(message.frame)
 }
 
-/// A host may forward only requests that it accepted itself.
+/// Fails if a host forwards a request that it did not accept itself.
 fn check_origin(request: &Frame, peer: &PeerIdentity) -> Result<(), LinkError> {
     match request.origin_host().filter(|origin| **origin != peer.host) {
         None => Ok(()),
-        Some(_) => Err(LinkError::Unexpected("the origin is not the sender")),
+        Some(_) => Err(LinkError::Unexpected(
+            "the origin host of the request is not the sender",
+        )),
     }
 }
 
-/// Counts one open connection until it is dropped, also after a panic.
+/// Counts one connection as open until it is dropped, also after a panic.
 struct OpenSlot(Arc<PeerServer>);
 
 impl Drop for OpenSlot {
@@ -327,7 +330,7 @@
     }
 }
 
-/// Counts one connection of a host until it is dropped, also after a panic.
+/// Counts one connection of a host as open until it is dropped, also after a panic.
 struct HostSlot<'a> {
     server: &'a PeerServer,
     host: HostId,
@@ -366,7 +369,10 @@
         &self.request
     }
 
-    /// Reads the whole body; a request that is refused without it needs no read.
+    /// Reads the complete body.
+    ///
+    /// A handler that refuses the request need not read it; the connection is then
+    /// closed after the exchange.
     pub fn read_body(&mut self, deadline: Instant) -> Result<Vec<u8>, LinkError> {
         let mut body = Vec::new();
         while self.remaining_body_bytes > 0 {
@@ -377,11 +383,17 @@
                     self.is_cancelled = true;
                     return Err(LinkError::Closed);
                 }
-                _ => return Err(LinkError::Unexpected("a body frame was expected")),
+                _ => {
+                    return Err(LinkError::Unexpected(
+                        "expected a frame of the request body",
+                    ));
+                }
             }
             let bytes = message.payload.len() as u64;
             if bytes == 0 || bytes > self.remaining_body_bytes {
-                return Err(LinkError::Unexpected("the body has another length"));
+                return Err(LinkError::Unexpected(
+                    "the body does not have the length that the request states",
+                ));
             }
             self.remaining_body_bytes -= bytes;
             body.extend_from_slice(&message.payload);
@@ -393,14 +405,15 @@
     ///
     /// Only meaningful once the body has been read.
     pub fn is_cancelled(&mut self) -> bool {
-        // After its body the other host sends nothing but a cancellation.
+        // After the body, a cancellation is the only frame that the other host may
+        // send.
         if !self.is_cancelled && self.remaining_body_bytes == 0 {
             self.is_cancelled = !self.link.is_idle();
         }
         self.is_cancelled
     }
 
-    /// Sends an answer frame that is not final.
+    /// Sends a response frame that is not final.
     pub fn send(
         &mut self,
         frame: &Frame,
@@ -408,7 +421,7 @@
         deadline: Instant,
     ) -> Result<(), LinkError> {
         if self.is_ended || frame.is_final() || frame.is_request() {
-            return Err(LinkError::Unexpected("the frame is not part of an answer"));
+            return Err(LinkError::Unexpected("the frame is not part of a response"));
         }
         self.write_in_pieces(frame, bytes, deadline)
     }
@@ -433,7 +446,8 @@
         written.map_err(|failed| failed.error)
     }
 
-    /// Sends the final frame; long `bytes` go ahead in pieces.
+    /// Sends the final frame. All but the last [`MAX_PAYLOAD_BYTES`] of longer
+    /// `bytes` are sent before it in [`Frame::ResponseBody`] frames.
     pub fn finish(
         &mut self,
         frame: &Frame,
@@ -441,7 +455,9 @@
         deadline: Instant,
     ) -> Result<(), LinkError> {
         if self.is_ended || !frame.is_final() {
-            return Err(LinkError::Unexpected("the frame is not a final one"));
+            return Err(LinkError::Unexpected(
+                "the frame is not final, or the exchange has ended",
+            ));
         }
         self.write_in_pieces(frame, bytes, deadline)?;
         self.is_ended = true;
--- a/src/peer/socket.rs
+++ b/src/peer/socket.rs
@@ -1,8 +1,8 @@
 //! Runs gossip on a UDP socket with one thread to receive and one to send.
 //!
-//! The receive thread checks and applies datagrams and hands the events to a
-//! closure. The send thread runs the rounds, takes the updates of this
-//! host from a bounded ring and writes to the socket.
+//! The receive thread checks and applies datagrams and passes the events to a
+//! closure. The send thread runs the gossip rounds, takes the updates of this host
+//! from a bounded queue and writes to the socket.
 
 use std::{
     io,
@@ -58,32 +58,34 @@
     },
 };
 
-/// Datagrams and facts that wait to be sent; the oldest is dropped when full.
-const SEND_RING_ENTRIES: usize = 64;
-/// Longest wait of either thread before it looks at the stop signal.
+/// Capacity of the queues of replies and of local updates; when one is full, its
+/// oldest entry is dropped.
+const QUEUE_ENTRIES: usize = 64;
+/// Longest wait of either thread before it checks whether it is to stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A fact that this host is the source of.
+/// An update that originates at this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LocalUpdate {
-    /// Its own heartbeat.
+    /// Heartbeat of this host.
     Heartbeat(Heartbeat),
-    /// What it measured at an endpoint.
+    /// Report that this host measured at an endpoint.
     Report(EndpointReport),
-    /// The summary of its region.
+    /// Summary of this host's region.
     Summary(RegionSummary),
     /// Addresses of hosts to contact.
     Seeds(Vec<SocketAddr>),
 }
 
-/// What was dropped because a ring was full or the socket refused it.
+/// Numbers of updates and datagrams that were dropped because a queue was full or
+/// sending failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SocketCounts {
-    /// Local updates that were dropped, oldest first.
+    /// Local updates that were dropped because their queue was full.
     pub dropped_updates: u64,
-    /// Datagrams to send that were dropped, oldest first.
+    /// Replies that were dropped because their queue was full.
     pub dropped_datagrams: u64,
-    /// Datagrams that the socket did not take.
+    /// Datagrams that could not be written to the socket.
     pub failed_sends: u64,
 }
 
@@ -94,14 +96,14 @@
     failed_sends: AtomicU64,
 }
 
-/// A ring that drops its oldest entry when it is full.
+/// A bounded queue that drops its oldest entry when it is full.
 #[derive(Debug)]
-struct Ring<T> {
+struct DropOldestQueue<T> {
     sender: Sender<T>,
     receiver: Receiver<T>,
 }
 
-impl<T> Ring<T> {
+impl<T> DropOldestQueue<T> {
     fn new(entries: usize) -> Self {
         let (sender, receiver) = bounded(entries);
         Self { sender, receiver }
@@ -122,14 +124,15 @@
 struct Shared {
     gossip: Mutex<Gossip>,
     socket: UdpSocket,
-    updates: Ring<LocalUpdate>,
-    replies: Ring<OutgoingDatagram>,
+    updates: DropOldestQueue<LocalUpdate>,
+    replies: DropOldestQueue<OutgoingDatagram>,
     drops: DropCounters,
     is_stopping: AtomicBool,
 }
 
 impl Shared {
-    /// A panic while the lock was held leaves facts that are at worst stale.
+    /// Locks the gossip state. A poisoned lock is used on: a panic while it was held
+    /// leaves records that are at worst stale.
     fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -147,8 +150,8 @@
 }
 
 impl GossipSocket {
-    /// Starts the threads on a bound socket; `on_event` runs on the receive
-    /// thread for others' events and on the send thread for this host's reports.
+    /// Starts the threads on a bound socket. `on_event` runs on the receive thread
+    /// for events from other hosts and on the send thread for this host's reports.
     ///
     /// Fails if the socket cannot be configured or a thread cannot be started.
     pub fn start<F>(
@@ -164,8 +167,8 @@
         let shared = Arc::new(Shared {
             gossip: Mutex::new(Gossip::new(config, key)),
             socket,
-            updates: Ring::new(SEND_RING_ENTRIES),
-            replies: Ring::new(SEND_RING_ENTRIES),
+            updates: DropOldestQueue::new(QUEUE_ENTRIES),
+            replies: DropOldestQueue::new(QUEUE_ENTRIES),
             drops: DropCounters::default(),
             is_stopping: AtomicBool::new(false),
         });
@@ -189,17 +192,17 @@
         Ok(())
     }
 
-    /// Queues a fact to be spread.
+    /// Queues an update for gossip.
     pub fn publish(&self, update: LocalUpdate) {
         self.shared.updates.push(update, &self.shared.drops.updates);
     }
 
-    /// Totals of the gossip.
+    /// Returns the totals of gossip.
     pub fn counts(&self) -> GossipCounts {
         self.shared.gossip().counts()
     }
 
-    /// What was dropped.
+    /// Returns the numbers of dropped updates and datagrams.
     pub fn socket_counts(&self) -> SocketCounts {
         let drops = &self.shared.drops;
         SocketCounts {
@@ -234,14 +237,14 @@
 where
     F: Fn(GossipEvent),
 {
-    // One byte more than allowed, so that a longer datagram is seen as such.
+    // One byte more than the limit, so that a datagram over it is detected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     while !shared.is_stopping() {
         match shared.socket.recv_from(&mut buffer) {
             Ok((length, from)) => handle_datagram(shared, from, &buffer[..length], on_event),
             Err(error) if is_timeout(&error) => {}
             Err(error) => {
-                // An ICMP error for an earlier datagram also surfaces here.
+                // The kernel also reports ICMP errors of sent datagrams here.
                 tracing::debug!(%error, "could not receive a datagram");
             }
         }
@@ -266,7 +269,7 @@
         .gossip()
         .receive(now_ms, from, bytes, &mut events, &mut out);
     if let Err(error) = result {
-        tracing::debug!(%error, %from, "refused a datagram");
+        tracing::debug!(%error, %from, "refused a datagram from another host");
     }
     for reply in out {
         shared.replies.push(reply, &shared.drops.datagrams);
@@ -286,7 +289,8 @@
         }
         wait(shared, on_event);
     }
-    // What was published last, such as that this host is leaving, still goes out.
+    // Updates that were published before the stop are still sent, such as the
+    // heartbeat that says that this host is leaving.
     while let Ok(update) = shared.updates.receiver.try_recv() {
         apply_update(shared, update, on_event);
     }
@@ -295,7 +299,8 @@
     out.iter().for_each(|datagram| send(shared, datagram));
 }
 
-/// Handles replies and local updates until the next round is due.
+/// Waits until the next round is due or a reply or local update arrives, and
+/// handles that one.
 fn wait<F>(shared: &Shared, on_event: &F)
 where
     F: Fn(GossipEvent),
@@ -309,7 +314,7 @@
         default(timeout) => None,
     };
     if received.is_none() && wait_ms == 0 {
-        // A round that has nobody to write to must not spin.
+        // Prevents a busy loop when a round is due but has no targets.
         match shared
             .replies
             .receiver
