--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -1,16 +1,18 @@
-//! Decides which facts go to which hosts, as a plain struct with explicit time.
+//! Decides which records are sent to which hosts, without I/O and with explicit
+//! time.
 //!
-//! In each round a host writes to a few random hosts of its region: facts that
-//! changed, then short heartbeats of the hosts heard last, states of other regions
-//! and the newest loads. Descriptions that do not change go in full only now and
-//! then; a host that meets a short name it does not know asks the sender for the
-//! rest. The first three hosts of a region by rendezvous hashing also write the
-//! states of all regions to one host each of a few random other regions. What is
-//! leaving, and a higher revision, goes out at once and is passed on at once.
+//! In each round a host sends datagrams to a few random hosts of its region: full
+//! records that changed, then compact heartbeats, compact summaries of other
+//! regions and compact reports. Full records that did not change are sent only
+//! rarely; a host that receives an unknown short identifier requests the full
+//! record from the sender. The first three hosts of a region by rendezvous hashing
+//! are its delegates. They also send compact summaries of all regions to one host
+//! each of a few random other regions. That a host or endpoint is leaving, and a
+//! higher revision, are sent and relayed immediately.
 //!
 //! Sent and received bytes draw on one budget, and the next round waits until it
-//! has credit. More hosts and endpoints therefore make facts older but do not
-//! cost more bytes.
+//! has credit. More hosts and endpoints therefore increase the age of records but
+//! not the number of bytes.
 
 use std::{
     cmp::Reverse,
@@ -84,95 +86,100 @@
     }, //
 };
 
-/// IP and UDP headers of one datagram, which count against the budget.
+/// Bytes of the IP and UDP headers of one datagram, which count against the budget.
 pub const UDP_OVERHEAD_BYTES: u64 = 28;
-/// Sent and received control bytes; leaves 1 KB/s of the 11 KB/s of the design
-/// to configuration changes over TCP.
+/// Budget for sent and received bytes together. It leaves 1 KB/s of the 11 KB/s
+/// control traffic in the design to configuration changes over TCP.
 pub const DEFAULT_BUDGET_BYTES_PER_S: u64 = 10_000;
-/// Hosts that write to other regions.
+/// Hosts of a region that send to other regions.
 const DELEGATES_PER_REGION: usize = 3;
 /// Time between rounds while the budget allows it.
 const ROUND_INTERVAL_MS: Millis = Millis(200);
-/// Time until the next look when this host has no heartbeat yet.
+/// Time until the next attempt of a round while this host has no heartbeat yet.
 const NO_HEARTBEAT_RETRY_MS: Millis = Millis(20);
-/// A round happens at least this often, with one datagram if need be.
+/// Longest time between rounds; one that is due without credit sends one datagram.
 const MAX_ROUND_INTERVAL_MS: Millis = Millis(1_000);
-/// Hosts of the region that are written to in one round.
+/// Hosts of the region that one round sends to.
 const FANOUT: usize = 2;
-/// Other regions that a delegate writes to in one round.
+/// Other regions that one round of a delegate sends to.
 const CROSS_REGION_FANOUT: usize = 2;
-/// Short heartbeats older than this are not passed on.
+/// Heartbeats older than this are not relayed.
 const MAX_RELAYED_HEARTBEAT_AGE_MS: Millis = Millis(5_000);
-/// Part of a datagram that changed facts may take, in percent.
+/// Share of a datagram that full records may take, in percent.
 const FULL_RECORDS_SHARE_PERCENT: usize = 60;
-/// Part of a datagram that short heartbeats may take, in percent. With 70 the 99th
-/// percentile of the age of loads rose from 4.6 s to 7.3 s.
+/// Share of the remaining space that compact heartbeats may take, in percent. With
+/// 70 the 99th percentile of the age of loads rose from 4.6 s to 7.3 s.
 const HEARTBEATS_SHARE_PERCENT: usize = 50;
-/// Part of the rest that states of other regions may take, in percent.
+/// Share of the then remaining space that compact summaries of other regions may
+/// take, in percent.
 const SUMMARIES_SHARE_PERCENT: usize = 40;
-/// Most short names asked for, or spelled out, in one datagram.
+/// Maximum number of full records that one datagram requests, and that are sent in
+/// response to one.
 const MAX_REQUESTED_IDS: usize = 40;
-/// Extra sends of a load before others go first. None instead of one made
-/// the median age of loads 1.5 s instead of 1.3 s in the full-size measurement.
+/// Repeated sends of a compact report before reports that were sent less often
+/// take precedence. With 0 instead of 1, the median age of loads in the full-size
+/// measurement was 1.5 s instead of 1.3 s.
 const EXTRA_REPORT_SENDS: u32 = 1;
-/// The same for short heartbeats.
+/// The same for compact heartbeats.
 const EXTRA_HEARTBEAT_SENDS: u32 = 1;
-/// Time between two unchanged facts that are sent in full anyway.
+/// Minimum time between sends of full records that did not change.
 const REFRESH_INTERVAL_MS: Millis = Millis(1_000);
-/// Time between two requests for missing facts.
+/// Minimum time between two requests for missing full records.
 const RECORD_REQUEST_INTERVAL_MS: Millis = Millis(100);
-/// First and longest time between contacts of a silent seed.
+/// First interval between contacts of a silent seed; doubles up to the maximum.
 const SEED_RETRY_INTERVAL_MS: Millis = Millis(500);
 const MAX_SEED_RETRY_INTERVAL_MS: Millis = Millis(8_000);
-/// The same for a host that knows no other host of its region. Without it, a
-/// host that lost four exchanges in a row stayed alone for 16 s.
+/// Maximum for a host that knows no other host of its region. Without this lower
+/// limit, a host that lost four exchanges in a row stayed isolated for 16 s.
 const MAX_ISOLATED_RETRY_INTERVAL_MS: Millis = Millis(2_000);
-/// Hosts named to a newcomer while this host is over its budget.
+/// Hosts whose heartbeats a new host receives while this host is over its budget.
 const SHORT_HELLO_HOSTS: usize = 3;
-/// A seed silent for this long is contacted again by delegates.
+/// Delegates contact a seed again after this time without a datagram from it.
 const SEED_SILENCE_MS: Millis = Millis(30_000);
-/// Time between two contacts of silent hosts by all hosts of a region, and by
-/// one host at least.
+/// Average time between probes of silent hosts by all hosts of a region together,
+/// and the minimum time between probes by one host.
 const REGION_PROBE_INTERVAL_MS: Millis = Millis(250);
 const MIN_HOST_PROBE_INTERVAL_MS: Millis = Millis(1_000);
-/// Time between two notes of a higher revision at the same source.
+/// Minimum time between events about a higher revision of the same host.
 const REVISION_EVENT_INTERVAL_MS: Millis = Millis(250);
-/// Most remembered notes of higher revisions.
+/// Maximum number of hosts whose last such event is remembered.
 const MAX_REVISION_EVENT_TIMES: usize = 1_024;
-/// Revision and five length prefixes of the parts of a body.
+/// Space for the revision and the length prefixes of the five lists of a body.
 const BODY_OVERHEAD_BYTES: usize = 20;
-/// Hosts that are told at once that something is leaving; each tells as many.
+/// Hosts of the region to which a leaving host or endpoint is announced
+/// immediately; each of them announces it to as many.
 const LEAVING_FANOUT: usize = 5;
-/// Rounds in which a host passes on that something is leaving. One round left
-/// some of 66 hosts out when a region started as a whole and lost 10%.
+/// Rounds in which a host announces a leaving host or endpoint. With one round,
+/// some of 66 hosts missed it when all hosts of a region started at once and 10% of
+/// the datagrams were lost.
 const LEAVING_ROUNDS: u8 = 3;
-/// Hosts of the region that are told at once of a higher revision; each tells as
-/// many. Delegates tell as many other regions.
+/// Hosts of the region to which a higher revision is announced immediately; each
+/// of them announces it to as many. Delegates announce it to as many other regions.
 const REVISION_FANOUT: usize = 2;
-/// Length of a regular datagram within the region. In the full-size measurement
-/// the 99th percentile of the age of short heartbeats was 3.2 s with full-length
-/// datagrams, 2.1 s with 760 bytes and 1.8 s with 640 bytes.
+/// Size limit of a regular datagram within the region. In the full-size measurement
+/// the 99th percentile of the age of heartbeats was 3.2 s with datagrams of maximum
+/// size, 2.1 s with 760 bytes and 1.8 s with 640 bytes.
 const MAX_REGION_DATAGRAM_BYTES: usize = 640;
 
-/// Who this host is and how much it may send.
+/// Identity, seeds and budget of a host.
 #[derive(Debug, Clone)]
 pub struct GossipConfig {
     /// This host.
     pub host: HostId,
-    /// Its current run.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
-    /// Addresses to contact until they are heard.
+    /// Addresses of hosts to contact until a datagram arrives from them.
     pub seeds: Vec<SocketAddr>,
-    /// Sent and received bytes, with IP and UDP headers.
+    /// Budget for sent and received bytes together, with IP and UDP headers.
     pub budget_bytes_per_s: u64,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl GossipConfig {
-    /// A host without seeds and with the default budget.
+    /// Creates a configuration without seeds and with the default budget.
     pub fn new(host: HostId, incarnation: Incarnation, region: RegionId) -> Self {
         Self {
             host,
@@ -184,13 +191,13 @@
         }
     }
 
-    /// The same with addresses to contact first.
+    /// Sets the addresses of hosts to contact at the start.
     pub fn with_seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// The same with another budget.
+    /// Sets the budget.
     pub fn with_budget(mut self, budget_bytes_per_s: u64) -> Self {
         self.budget_bytes_per_s = budget_bytes_per_s;
         self
@@ -200,9 +207,9 @@
 /// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Address of the receiver.
+    /// Address of the receiving host.
     pub to: SocketAddr,
-    /// Encoded and tagged.
+    /// Encoded and tagged datagram.
     pub bytes: Vec<u8>,
 }
 
@@ -215,13 +222,13 @@
     pub sent_bytes: u64,
     /// Received bytes with IP and UDP headers.
     pub received_bytes: u64,
-    /// Requests for missing facts that were sent.
+    /// Datagrams sent to request missing full records.
     pub requested_records: u64,
-    /// What was accepted and refused.
+    /// Received datagrams that were accepted and refused.
     pub wire: WireCounts,
 }
 
-/// Bytes that may be sent or received now; may become negative.
+/// Token bucket for sent and received bytes; the balance may become negative.
 #[derive(Debug)]
 struct Budget {
     bytes_per_s: i64,
@@ -250,12 +257,12 @@
 
     fn spend(&mut self, bytes: u64) {
         let bytes = i64::try_from(bytes).unwrap_or(self.bytes_per_s);
-        // The debt is bounded, so that a flood of received bytes silences this
-        // host for a few seconds at most.
+        // The debt is bounded, so that a flood of received bytes keeps this host from
+        // sending for a few seconds at most.
         self.available_bytes = (self.available_bytes - bytes).max(-3 * self.bytes_per_s);
     }
 
-    /// Short replies may run up the whole debt but for a rest.
+    /// Whether a short reply may be sent; allowed up to a debt of 2.5 seconds.
     fn allows_short_reply(&self) -> bool {
         self.available_bytes > -5 * self.bytes_per_s / 2
     }
@@ -264,7 +271,7 @@
         self.available_bytes > 0
     }
 
-    /// Replies may run up a debt of one second.
+    /// Whether a reply may be sent; allowed up to a debt of one second.
     fn allows_reply(&self) -> bool {
         self.available_bytes > -self.bytes_per_s
     }
@@ -302,7 +309,8 @@
     }
 }
 
-/// A fact in full that may go into the next datagram.
+/// A full record that may be added to the next datagram. The order of the fields
+/// gives the priority.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     is_not_leaving: bool,
@@ -311,6 +319,7 @@
     key: RecordKey,
 }
 
+/// Subject of a record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKey {
     Host(HostId),
@@ -318,7 +327,7 @@
     Summary(RegionId),
 }
 
-/// Collects a body up to a size.
+/// Builds a datagram body up to a size limit.
 #[derive(Debug)]
 struct BodyBuilder {
     body: DatagramBody,
@@ -350,34 +359,34 @@
         fits
     }
 
-    fn push_full_record(&mut self, item: FullRecord) -> bool {
-        let fits = self.reserve(&item);
+    fn push_full_record(&mut self, record: FullRecord) -> bool {
+        let fits = self.reserve(&record);
         if fits {
-            self.body.full_records.push(item);
+            self.body.full_records.push(record);
         }
         fits
     }
 
-    fn push_heartbeat(&mut self, beat: CompactHeartbeat) -> bool {
-        let fits = self.reserve(&beat);
+    fn push_heartbeat(&mut self, heartbeat: CompactHeartbeat) -> bool {
+        let fits = self.reserve(&heartbeat);
         if fits {
-            self.body.heartbeats.push(beat);
+            self.body.heartbeats.push(heartbeat);
         }
         fits
     }
 
-    fn push_summary(&mut self, beat: CompactSummary) -> bool {
-        let fits = self.reserve(&beat);
+    fn push_summary(&mut self, summary: CompactSummary) -> bool {
+        let fits = self.reserve(&summary);
         if fits {
-            self.body.summaries.push(beat);
+            self.body.summaries.push(summary);
         }
         fits
     }
 
-    fn push_report(&mut self, load: CompactReport) -> bool {
-        let fits = self.reserve(&load);
+    fn push_report(&mut self, report: CompactReport) -> bool {
+        let fits = self.reserve(&report);
         if fits {
-            self.body.reports.push(load);
+            self.body.reports.push(report);
         }
         fits
     }
@@ -393,7 +402,7 @@
     budget: Budget,
     seeds: Vec<SeedState>,
     rng: Pcg64Mcg,
-    /// What is leaving, with the rounds in which it still goes ahead.
+    /// Leaving hosts and endpoints, with the rounds in which they are still announced.
     urgent_rounds_left: BTreeMap<RecordKey, u8>,
     is_revision_urgent: bool,
     next_round_ms: Millis,
@@ -406,7 +415,8 @@
 }
 
 impl Gossip {
-    /// Knows nobody yet; rounds start once [`Gossip::set_own_heartbeat`] was called.
+    /// Creates a state that knows no hosts. Rounds start after the first call of
+    /// [`Gossip::set_own_heartbeat`].
     pub fn new(config: GossipConfig, key: &ClusterKey) -> Self {
         Self {
             encoder: DatagramEncoder::new(key, config.host.clone(), config.incarnation),
@@ -428,7 +438,7 @@
         }
     }
 
-    /// Totals so far.
+    /// Returns the totals so far.
     pub fn counts(&self) -> GossipCounts {
         GossipCounts {
             wire: self.decoder.counts(),
@@ -436,22 +446,22 @@
         }
     }
 
-    /// What is known of the others.
+    /// Returns the newest records of all hosts, endpoints and regions.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Region of this host.
+    /// Returns the region of this host.
     pub fn region(&self) -> &RegionId {
         &self.config.region
     }
 
-    /// When [`Gossip::poll`] has something to do.
+    /// Returns when [`Gossip::poll`] should be called next.
     pub fn next_round_ms(&self) -> Millis {
         self.next_round_ms
     }
 
-    /// Adds addresses to contact, such as those of the platform's list.
+    /// Adds addresses of hosts to contact, such as those of the platform's host list.
     pub fn add_seeds(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             if !self.seeds.iter().any(|seed| seed.address == *address) {
@@ -460,7 +470,7 @@
         }
     }
 
-    /// Sets the heartbeat of this host; the sequence is filled in here.
+    /// Sets the heartbeat of this host; its sequence is overwritten.
     pub fn set_own_heartbeat(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
         let tick_ms = tick_floor(now_ms);
         let known = self.store.hosts.get(&self.config.host);
@@ -481,7 +491,7 @@
         self.schedule_now_if(now_ms, is_revision_new || (is_changed && is_leaving));
     }
 
-    /// Takes over a report that this host measured.
+    /// Applies a report that this host measured; appends the resulting events.
     pub fn apply_local_report(
         &mut self,
         now_ms: Millis,
@@ -493,15 +503,18 @@
 
     /// Sets the summary of this host's region.
     ///
-    /// Hosts of one region should name the same forward hosts where they can,
-    /// since other regions learn each different description in full.
+    /// Hosts of one region should name the same hosts to forward to where they can,
+    /// since other regions need each different list in full.
     pub fn set_own_summary(&mut self, now_ms: Millis, mut summary: RegionSummary) {
         summary.capacity.sort_by(|a, b| a.target.cmp(&b.target));
         summary.hosts.sort_by(|a, b| a.host.cmp(&b.host));
         self.store.apply_summary(now_ms, summary, &mut Vec::new());
     }
 
-    /// Takes one datagram; appends what is new and what to answer.
+    /// Handles a received datagram; appends the resulting events and the replies to
+    /// send.
+    ///
+    /// Fails if the datagram is refused.
     pub fn receive(
         &mut self,
         now_ms: Millis,
@@ -530,7 +543,7 @@
         Ok(())
     }
 
-    /// Sends a round if it is due.
+    /// Appends the datagrams of a round to `out` if one is due.
     pub fn poll(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         if now_ms < self.next_round_ms {
             return;
@@ -570,7 +583,7 @@
         self.probe_silent_host(now_ms, out);
     }
 
-    /// Sends one datagram only, in turn within and between regions.
+    /// Sends only one datagram, alternately within the region and to another one.
     fn send_overdue_round(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         let is_cross_region_turn = self.counts.rounds.is_multiple_of(2);
         if is_cross_region_turn && self.is_delegate(now_ms) {
@@ -587,8 +600,8 @@
         }
     }
 
-    /// Whether the sender may not know this host. Hosts of other regions write
-    /// seldom, so a long silence of theirs means nothing.
+    /// Whether the sender may not know this host. Hosts of other regions send rarely,
+    /// so a long silence does not mean that they lost their state.
     fn needs_hello(&self, now_ms: Millis, sender: &HostId) -> bool {
         self.store.hosts.get(sender).is_none_or(|record| {
             let is_own_region = record.heartbeat.region == self.config.region;
@@ -602,47 +615,47 @@
         datagram: &Datagram,
         events: &mut Vec<GossipEvent>,
     ) -> Vec<ShortId> {
-        for item in &datagram.body.full_records {
-            self.apply_full_record(now_ms, item, events);
+        for record in &datagram.body.full_records {
+            self.apply_full_record(now_ms, record, events);
         }
         let sent_ms = datagram.header.sent_ms;
         let mut missing = BTreeSet::new();
-        for beat in &datagram.body.heartbeats {
-            if self.is_own_host_id(beat.id) {
+        for compact in &datagram.body.heartbeats {
+            if self.is_own_host_id(compact.id) {
                 continue;
             }
-            let sequence = ticks_before(sent_ms, beat.age_ticks).0;
-            let behind = beat.revision_lag.saturating_neg();
+            let sequence = ticks_before(sent_ms, compact.age_ticks).0;
+            let behind = compact.revision_lag.saturating_neg();
             let revision = Revision(datagram.body.revision.0.saturating_add_signed(behind));
             let known = self
                 .store
-                .apply_compact_heartbeat(now_ms, beat, sequence, revision, events);
+                .apply_compact_heartbeat(now_ms, compact, sequence, revision, events);
             if known == IdLookup::NotFound {
-                missing.insert(beat.id);
+                missing.insert(compact.id);
             }
         }
-        for load in &datagram.body.reports {
-            let measured_ms = ticks_before(sent_ms, load.age_ticks);
+        for compact in &datagram.body.reports {
+            let measured_ms = ticks_before(sent_ms, compact.age_ticks);
             if self
                 .store
-                .apply_compact_report(now_ms, load, measured_ms, events)
+                .apply_compact_report(now_ms, compact, measured_ms, events)
                 == IdLookup::NotFound
             {
-                missing.insert(load.id);
+                missing.insert(compact.id);
             }
         }
-        for beat in &datagram.body.summaries {
-            let made_ms = ticks_before(sent_ms, beat.age_ticks);
-            let behind = beat.revision_lag.saturating_neg();
+        for compact in &datagram.body.summaries {
+            let made_ms = ticks_before(sent_ms, compact.age_ticks);
+            let behind = compact.revision_lag.saturating_neg();
             let lowest = Revision(datagram.body.revision.0.saturating_add_signed(behind));
-            if self.is_own_region_id(beat.id) {
+            if self.is_own_region_id(compact.id) {
                 continue;
             }
             let known = self
                 .store
-                .apply_compact_summary(now_ms, beat, made_ms, lowest, events);
+                .apply_compact_summary(now_ms, compact, made_ms, lowest, events);
             if known == IdLookup::NotFound {
-                missing.insert(beat.id);
+                missing.insert(compact.id);
             }
         }
         missing.into_iter().take(MAX_REQUESTED_IDS).collect()
@@ -661,10 +674,10 @@
     fn apply_full_record(
         &mut self,
         now_ms: Millis,
-        item: &FullRecord,
+        record: &FullRecord,
         events: &mut Vec<GossipEvent>,
     ) {
-        match item {
+        match record {
             FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host => {}
             FullRecord::Heartbeat(heartbeat) => {
                 let is_new = self
@@ -699,7 +712,7 @@
         }
     }
 
-    /// Passes on at once that something is leaving.
+    /// Makes a round due immediately if there is something urgent to send.
     fn schedule_now_if(&mut self, now_ms: Millis, is_urgent: bool) {
         if is_urgent {
             self.next_round_ms = self.next_round_ms.min(now_ms);
@@ -724,17 +737,18 @@
             revision: datagram.body.revision,
         });
         let mut sources: Vec<RevisionSource> = direct.into_iter().collect();
-        let full = datagram
+        let from_full = datagram
             .body
             .full_records
             .iter()
-            .filter_map(|item| match item {
+            .filter_map(|record| match record {
                 FullRecord::Summary(summary) => self.store.summaries.get(&summary.region),
                 FullRecord::Heartbeat(_) | FullRecord::Report(_) => None,
             });
-        let beats = datagram.body.summaries.iter();
-        let short = beats.filter_map(|beat| self.store.region_by_id(beat.id));
-        for record in full.chain(short) {
+        let compact_summaries = datagram.body.summaries.iter();
+        let from_compact =
+            compact_summaries.filter_map(|compact| self.store.region_by_id(compact.id));
+        for record in from_full.chain(from_compact) {
             let summary = &record.summary;
             let host = summary.hosts.iter().choose(&mut self.rng);
             sources.extend(host.map(|forward| RevisionSource {
@@ -779,15 +793,15 @@
         self.refresh_own_heartbeat(now_ms);
         let mut builder = self.body_builder(now_ms);
         for id in ids.iter().take(MAX_REQUESTED_IDS) {
-            let Some(item) = self.full_record_by_id(*id) else {
+            let Some(record) = self.full_record_by_id(*id) else {
                 continue;
             };
-            if builder.push_full_record(item.clone()) {
+            if builder.push_full_record(record.clone()) {
                 continue;
             }
-            let full = std::mem::replace(&mut builder, self.body_builder(now_ms));
-            self.reply(now_ms, to, full.body, out);
-            builder.push_full_record(item);
+            let full_builder = std::mem::replace(&mut builder, self.body_builder(now_ms));
+            self.reply(now_ms, to, full_builder.body, out);
+            builder.push_full_record(record);
         }
         if !builder.body.full_records.is_empty() {
             self.reply(now_ms, to, builder.body, out);
@@ -845,9 +859,9 @@
         self.reply(now_ms, to, body, out);
     }
 
-    /// Names a few other hosts, so that a newcomer turns to them while this one
-    /// is over its budget. Without it, hosts that all start with one seed kept
-    /// it so busy that some knew nobody after 15 s.
+    /// Sends the heartbeats of a few other hosts, so that a new host contacts them
+    /// while this one is over its budget. Without it, hosts that all started with the
+    /// same seed overloaded it, and some knew no other host after 15 s.
     fn send_short_hello(
         &mut self,
         now_ms: Millis,
@@ -868,15 +882,16 @@
         self.send(now_ms, to, body, out);
     }
 
-    /// Makes sure that a host that does not know this one can reply to it.
+    /// Adds this host's heartbeat, without which the receiver may not know it and
+    /// its address.
     fn prepend_own_heartbeat(&mut self, now_ms: Millis, body: &mut DatagramBody) {
         let has_own_heartbeat = body.full_records.iter().any(
-            |item| matches!(item, FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host),
+            |record| matches!(record, FullRecord::Heartbeat(heartbeat) if heartbeat.host == self.config.host),
         );
         let Some(own) = self.own_full_record(now_ms).filter(|_| !has_own_heartbeat) else {
             return;
         };
-        // Loads come last and are the least useful part for a newcomer.
+        // Reports come last and are the least useful part for a new host.
         let own_bytes = postcard::to_allocvec(&own).map_or(0, |bytes| bytes.len());
         let dropped = own_bytes.div_ceil(8);
         body.reports
@@ -911,15 +926,15 @@
                 self.counts.sent_bytes += cost_bytes;
                 out.push(OutgoingDatagram { to, bytes });
             }
-            Err(error) => tracing::error!(%error, "could not encode a datagram"),
+            Err(error) => tracing::error!(%error, "could not encode a datagram; it is not sent"),
         }
     }
 
     fn refresh_own_heartbeat(&mut self, now_ms: Millis) {
         if let Some(own) = self.store.hosts.get_mut(&self.config.host) {
-            let beat = tick_floor(now_ms).0;
-            if beat > own.newest_sequence {
-                own.newest_sequence = beat;
+            let sequence = tick_floor(now_ms).0;
+            if sequence > own.newest_sequence {
+                own.newest_sequence = sequence;
                 own.compact_sends = 0;
             }
             own.heartbeat.sequence = own.newest_sequence;
@@ -941,7 +956,7 @@
             .collect()
     }
 
-    /// Whether this host writes to other regions.
+    /// Whether this host sends to other regions.
     fn is_delegate(&self, now_ms: Millis) -> bool {
         let region = self.config.region.as_str();
         let rank = |host: &HostId| rendezvous_rank(region, host.as_str());
@@ -973,7 +988,8 @@
         }
     }
 
-    /// Sends what cannot wait in small datagrams of their own.
+    /// Announces leaving hosts and endpoints and a higher revision immediately, in
+    /// small datagrams of their own.
     fn send_urgent(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         let has_leaving = !self.urgent_rounds_left.is_empty();
         if !(has_leaving || self.is_revision_urgent) || !self.budget.allows_reply() {
@@ -992,8 +1008,8 @@
             REVISION_FANOUT
         };
         let mut builder = self.body_builder(now_ms);
-        if let Some(beat) = self.own_compact_heartbeat(now_ms) {
-            builder.push_heartbeat(beat);
+        if let Some(own_heartbeat) = self.own_compact_heartbeat(now_ms) {
+            builder.push_heartbeat(own_heartbeat);
         }
         for key in &keys {
             self.add_full_record(now_ms, key, &mut builder);
@@ -1050,7 +1066,7 @@
         hosts.chain(endpoints).chain(summaries).collect()
     }
 
-    /// Adds changed facts, and the unchanged one that was sent least recently.
+    /// Adds changed full records, and the unchanged one that was sent least recently.
     fn add_full_records(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut candidates = self.candidates(now_ms);
         candidates.sort_unstable();
@@ -1115,10 +1131,10 @@
         Some(self.compact_heartbeat(now_ms, own))
     }
 
-    /// Adds short heartbeats that were sent least often, newest first.
+    /// Adds compact heartbeats, least often sent first and newest first among equals.
     ///
-    /// Newest first alone would never pass on a host that writes seldom because
-    /// it is over its budget.
+    /// Newest first alone would never relay a host that sends rarely because it is
+    /// over its budget.
     fn add_heartbeats(&mut self, now_ms: Millis, builder: &mut BodyBuilder) {
         let mut records = self.region_hosts(now_ms);
         records.retain(|record| now_ms - record.last_received_ms <= MAX_RELAYED_HEARTBEAT_AGE_MS);
@@ -1126,14 +1142,14 @@
             let surplus_sends = record.compact_sends.saturating_sub(EXTRA_HEARTBEAT_SENDS);
             (surplus_sends, Reverse(record.newest_sequence))
         });
-        let beats = records
+        let heartbeats = records
             .iter()
             .map(|record| self.compact_heartbeat(now_ms, record));
         let hosts = records.iter().map(|record| record.heartbeat.host.clone());
-        let candidates: Vec<(HostId, CompactHeartbeat)> = hosts.zip(beats).collect();
+        let candidates: Vec<(HostId, CompactHeartbeat)> = hosts.zip(heartbeats).collect();
         let reserved = builder.free_bytes * (100 - HEARTBEATS_SHARE_PERCENT) / 100;
-        for (host, beat) in candidates {
-            if builder.free_bytes <= reserved || !builder.push_heartbeat(beat) {
+        for (host, heartbeat) in candidates {
+            if builder.free_bytes <= reserved || !builder.push_heartbeat(heartbeat) {
                 return;
             }
             if let Some(record) = self.store.hosts.get_mut(&host) {
@@ -1149,14 +1165,14 @@
             (surplus_sends, Reverse(record.report.measured_ms))
         });
         for record in records {
-            let load = CompactReport {
+            let compact = CompactReport {
                 id: record.id,
                 age_ticks: ticks_behind(now_ms, record.report.measured_ms),
                 running: record.report.running,
                 waiting: record.report.waiting,
                 cache_permille: record.report.cache_permille,
             };
-            if !builder.push_report(load) {
+            if !builder.push_report(compact) {
                 return;
             }
             record.compact_sends += 1;
@@ -1175,7 +1191,7 @@
         }
     }
 
-    /// One host of each of a few random other regions.
+    /// Returns one random host of each of a few random other regions.
     fn cross_region_targets(
         &mut self,
         now_ms: Millis,
@@ -1191,7 +1207,7 @@
         targets
     }
 
-    /// Addresses of hosts by other region, from summaries and heartbeats.
+    /// Returns the addresses of hosts of other regions, from summaries and heartbeats.
     fn cross_region_addresses(&self, now_ms: Millis) -> BTreeMap<RegionId, Vec<SocketAddr>> {
         let mut targets: BTreeMap<RegionId, Vec<SocketAddr>> = BTreeMap::new();
         let summaries = self.store.summaries.values().map(|record| &record.summary);
@@ -1200,9 +1216,10 @@
             let known = targets.entry(summary.region.clone()).or_default();
             known.extend(addresses);
         }
-        let heard = self.store.hosts.values();
-        let heard = heard.filter(|record| record.heartbeat.region != self.config.region);
-        for record in heard.filter(|record| record.is_live(now_ms)) {
+        let known_hosts = self.store.hosts.values();
+        let known_hosts =
+            known_hosts.filter(|record| record.heartbeat.region != self.config.region);
+        for record in known_hosts.filter(|record| record.is_live(now_ms)) {
             let known = targets.entry(record.heartbeat.region.clone()).or_default();
             known.push(record.heartbeat.peer_address);
         }
@@ -1210,14 +1227,16 @@
         targets
     }
 
-    /// This host, and the states of its region and of all others.
+    /// Builds a body with this host and compact summaries of its region and of all
+    /// others but `target`.
     fn cross_region_body(&mut self, now_ms: Millis, target: &RegionId) -> DatagramBody {
         let mut builder = self.cross_region_builder(now_ms);
         self.add_summaries(now_ms, Some(target), 0, &mut builder);
         builder.body
     }
 
-    /// This host and its region in full, for a host that may know neither.
+    /// Builds a body with this host and its region in full, for a host that may know
+    /// neither.
     fn hello_body(&mut self, now_ms: Millis) -> DatagramBody {
         let mut builder = self.cross_region_builder(now_ms);
         if let Some(own) = self.store.summaries.get(&self.config.region) {
@@ -1234,9 +1253,11 @@
         builder
     }
 
-    /// Adds states of regions, least often sent first, down to `reserved` bytes.
+    /// Adds compact summaries, least often sent first, and leaves `reserved` bytes
+    /// free.
     ///
-    /// The own region goes only, and first, to other regions.
+    /// The summary of the own region is added first, and only to datagrams to other
+    /// regions.
     fn add_summaries(
         &mut self,
         now_ms: Millis,
@@ -1259,24 +1280,25 @@
         let own_revision = builder.body.revision.0;
         for record in records {
             let summary = &record.summary;
-            let beat = CompactSummary {
+            let compact = CompactSummary {
                 id: record.id,
                 age_ticks: ticks_behind(now_ms, summary.made_ms),
                 revision_lag: own_revision.wrapping_sub(summary.lowest_revision.0) as i64,
                 busy: summary.capacity.iter().map(|c| c.busy).collect(),
             };
-            if builder.free_bytes <= reserved || !builder.push_summary(beat) {
+            if builder.free_bytes <= reserved || !builder.push_summary(compact) {
                 return;
             }
             record.compact_sends += 1;
         }
     }
 
-    /// Asks a silent host of the region for a short heartbeat, so that two halves
-    /// that have forgotten each other find together again.
+    /// Sends a probe to a silent host of the region, so that parts of a region that
+    /// were partitioned for long enough to forget each other connect again.
     ///
-    /// The hosts of a region together ask four times a second, however many
-    /// they are; once a second each kept a host that was over its budget there.
+    /// The hosts of a region together probe four times a second, whatever their
+    /// number. With one probe a second by each host, a host that was over its budget
+    /// stayed over it.
     fn probe_silent_host(&mut self, now_ms: Millis, out: &mut Vec<OutgoingDatagram>) {
         if now_ms < self.next_probe_ms {
             return;
@@ -1308,7 +1330,7 @@
             .iter()
             .map(|record| record.heartbeat.peer_address)
             .collect();
-        // This host is among the known ones.
+        // This host is one of the known ones.
         let is_isolated = known.len() <= 1;
         let max_retry_interval_ms = if is_isolated {
             MAX_ISOLATED_RETRY_INTERVAL_MS
--- a/src/peer/simulation.rs
+++ b/src/peer/simulation.rs
@@ -1,8 +1,8 @@
-//! Runs the gossip of many hosts in memory to find what it costs.
+//! Simulates the gossip of many hosts in memory to measure its cost.
 //!
 //! The hosts are real [`Gossip`] values with a virtual clock; only the network
-//! between them is replaced by a seeded delivery with loss. Bytes and staleness
-//! are exact for that delivery; the processor time is measured on this machine.
+//! between them is replaced by a seeded delivery with loss. Bytes and ages of
+//! records are exact for that delivery; CPU time is measured on this machine.
 
 use std::{
     collections::BTreeMap,
@@ -54,43 +54,43 @@
 const POLL_INTERVAL_MS: Millis = Millis(1_000);
 const REGION_LATENCY_MS: Millis = Millis(1);
 const CROSS_REGION_LATENCY_MS: Millis = Millis(80);
-/// Time after which the spread of a revision is given up.
+/// Time after which measuring the spread of a revision stops.
 const MAX_REVISION_SPREAD_MS: Millis = Millis(60_000);
 const LOSS_PERMILLE: u32 = 10;
-/// Time to learn all descriptions, which is left out of the figures. After 20 s
-/// the datagrams of 66 hosts still carried descriptions in place of loads.
+/// Time until all full records are known, which is excluded from the results. After
+/// 20 s the datagrams of 66 hosts still carried full records in place of loads.
 const WARM_UP_MS: Millis = Millis(60_000);
 
-/// What gossip costs one host of a region, and how old its facts are.
+/// Cost of gossip for one host of a region, and the age of its records.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct GossipCost {
     /// Hosts in the region.
     pub hosts: usize,
     /// Endpoints in the region.
     pub endpoints: usize,
-    /// Virtual time that was measured, after the warm-up.
+    /// Measured virtual time in seconds, after the warm-up.
     pub seconds: u64,
     /// Sent and received bytes per second of the average host.
     pub mean_bytes_per_s: f64,
     /// Sent and received bytes per second of the busiest host.
     pub max_bytes_per_s: f64,
-    /// Processor time per second of one host, in microseconds, its share of the
-    /// simulated network included.
+    /// CPU time per second of one host, in microseconds, including its share of the
+    /// simulated network.
     pub cpu_micros_per_s: f64,
-    /// Median age of an endpoint's load at a host.
+    /// Median age of the newest load of an endpoint that a host knows.
     pub report_age_p50_ms: u64,
     /// 99th percentile of that age.
     pub report_age_p99_ms: u64,
-    /// Median age of the newest short heartbeat of a host at another.
+    /// Median age of the newest heartbeat of a host that another host knows.
     pub beat_age_p50_ms: u64,
     /// 99th percentile of that age.
     pub beat_age_p99_ms: u64,
-    /// Longest such age.
+    /// Maximum of that age.
     pub beat_age_max_ms: u64,
 }
 
-/// Measures one region with `hosts` and `endpoints` over `seconds` of virtual
-/// time; two hosts poll each endpoint once a second.
+/// Measures gossip in one region with `hosts` and `endpoints` over `seconds` of
+/// virtual time; two hosts poll each endpoint once a second.
 pub fn measure_region(hosts: usize, endpoints: usize, seconds: u64) -> GossipCost {
     let mut region = SimulatedCluster::new(1, hosts.max(1), endpoints);
     region.run(WARM_UP_MS);
@@ -116,38 +116,38 @@
         cpu_micros_per_s: cpu_micros / (seconds as f64 * region.hosts.len() as f64),
         report_age_p50_ms: percentile(&mut region.ages.reports, 50),
         report_age_p99_ms: percentile(&mut region.ages.reports, 99),
-        beat_age_p50_ms: percentile(&mut region.ages.beats, 50),
-        beat_age_p99_ms: percentile(&mut region.ages.beats, 99),
-        beat_age_max_ms: percentile(&mut region.ages.beats, 100),
+        beat_age_p50_ms: percentile(&mut region.ages.heartbeats, 50),
+        beat_age_p99_ms: percentile(&mut region.ages.heartbeats, 99),
+        beat_age_max_ms: percentile(&mut region.ages.heartbeats, 100),
     }
 }
 
-/// What gossip between regions costs, and how fast a revision spreads by it.
+/// Cost of gossip between regions, and how fast it spreads a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct CrossRegionCost {
     /// Regions.
     pub regions: usize,
     /// Hosts in each region.
     pub hosts_per_region: usize,
-    /// Virtual time that was measured, after the warm-up.
+    /// Measured virtual time in seconds, after the warm-up.
     pub seconds: u64,
     /// Sent and received bytes per second of the average host.
     pub mean_bytes_per_s: f64,
     /// Sent and received bytes per second of the busiest host.
     pub max_bytes_per_s: f64,
-    /// Processor time per second of one host, in microseconds, its share of the
-    /// simulated network included.
+    /// CPU time per second of one host, in microseconds, including its share of the
+    /// simulated network.
     pub cpu_micros_per_s: f64,
-    /// Median age of another region's summary at a host.
+    /// Median age of another region's summary that a host knows.
     pub summary_age_p50_ms: u64,
     /// 99th percentile of that age.
     pub summary_age_p99_ms: u64,
     /// Summaries of other regions that the average host knows.
     pub mean_summaries: f64,
-    /// Time until a revision accepted at one host was in force at every host,
-    /// each fetching it from the host that announced it.
+    /// Time until a revision accepted at one host was in force at every host; each
+    /// fetches it from the host that gossip names.
     pub revision_everywhere_ms: u64,
-    /// Time until it was in force at one host of every region.
+    /// Time until it was in force at one host of every region at least.
     pub revision_every_region_ms: u64,
 }
 
@@ -170,7 +170,7 @@
     let after = cluster.total_bytes();
     let used: Vec<u64> = after.iter().zip(&before).map(|(a, b)| a - b).collect();
     let known = cluster.ages.summaries.len() as f64;
-    let (revision_every_region_ms, revision_everywhere_ms) = cluster.spread_revision();
+    let (revision_every_region_ms, revision_everywhere_ms) = cluster.measure_revision_spread();
     let per_second = |bytes: u64| bytes as f64 / seconds as f64;
     let hosts = cluster.hosts.len() as f64;
     CrossRegionCost {
@@ -197,7 +197,7 @@
 #[derive(Debug, Default)]
 struct Ages {
     reports: Vec<u64>,
-    beats: Vec<u64>,
+    heartbeats: Vec<u64>,
     summaries: Vec<u64>,
 }
 
@@ -213,7 +213,7 @@
     ages: Ages,
 }
 
-fn id<T>(text: String) -> T
+fn parse_id<T>(text: String) -> T
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Debug,
@@ -236,11 +236,11 @@
 
 fn heartbeat(index: usize, region: usize) -> Heartbeat {
     Heartbeat {
-        host: id::<HostId>(format!("gateway-{index:03}")),
+        host: parse_id::<HostId>(format!("gateway-{index:03}")),
         incarnation: Incarnation(0x9e37_79b9_7f4a_7c15 ^ index as u64),
         sequence: 0,
-        region: id::<RegionId>(format!("buenos-aires-{region:02}")),
-        data_centre: id::<DataCentreId>(format!("buenos-aires-{region:02}-1")),
+        region: parse_id::<RegionId>(format!("buenos-aires-{region:02}")),
+        data_centre: parse_id::<DataCentreId>(format!("buenos-aires-{region:02}-1")),
         peer_address: address(index),
         caller_address: address(index),
         is_leaving: false,
@@ -259,7 +259,7 @@
             .map(|index| heartbeat(index, index / hosts_per_region))
             .collect();
         let start = |(index, own): (usize, &Heartbeat)| {
-            // The first hosts of the own and of the next region.
+            // The first hosts of this region and of the next one.
             let first = index / hosts_per_region * hosts_per_region;
             let seeds = vec![address(first), address((first + hosts_per_region) % hosts)];
             let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
@@ -268,7 +268,7 @@
             gossip.set_own_heartbeat(START_MS, own.clone());
             gossip
         };
-        let endpoint_ids = (0..endpoints).map(|n| id(format!("engine-{n:05}")));
+        let endpoint_ids = (0..endpoints).map(|n| parse_id(format!("engine-{n:05}")));
         Self {
             hosts: heartbeats.iter().enumerate().map(start).collect(),
             hosts_per_region,
@@ -305,10 +305,10 @@
         self.poll_endpoints();
         self.deliver();
         self.apply_fetches();
-        self.send();
+        self.poll_hosts();
     }
 
-    /// Each host sums up its region from what it knows, with up to eight hosts.
+    /// Sets the summary of its region at each host, with up to eight hosts.
     fn put_summaries(&mut self) {
         let is_one_region = self.hosts_per_region == self.hosts.len();
         for index in 0..self.hosts.len() {
@@ -325,7 +325,7 @@
             let lowest = self.heartbeats[first..last].iter().map(|h| h.revision);
             let busy = self.rng.random_range(0..2_000);
             let capacity = |n: usize| TargetCapacity {
-                target: Target::Model(id(format!("model-number-{n}"))),
+                target: Target::Model(parse_id(format!("model-number-{n}"))),
                 slots: 1_024,
                 busy,
             };
@@ -340,10 +340,10 @@
         }
     }
 
-    /// A host that is told of a higher revision has it after one round trip.
-    fn fetch(&mut self, index: usize, events: Vec<GossipEvent>) {
-        for item in events {
-            if let GossipEvent::HigherRevision(source) = item {
+    /// Schedules the fetch of each higher revision, which takes one round trip.
+    fn schedule_fetches(&mut self, index: usize, events: Vec<GossipEvent>) {
+        for event in events {
+            if let GossipEvent::HigherRevision(source) = event {
                 let from = index_of(source.peer_address);
                 let due_ms =
                     self.now_ms + self.latency_ms(index, from) + self.latency_ms(from, index);
@@ -369,8 +369,9 @@
         }
     }
 
-    /// Time until one host of each region, and until every host, has it.
-    fn spread_revision(&mut self) -> (u64, u64) {
+    /// Starts a new revision at the first host; returns the milliseconds until one
+    /// host of each region has it in force, and until every host has.
+    fn measure_revision_spread(&mut self) -> (u64, u64) {
         let start_ms = self.now_ms;
         let newest = self.heartbeats[0].revision.next();
         self.set_revision(0, newest);
@@ -433,20 +434,20 @@
             let gossip = &mut self.hosts[index];
             let result = gossip.receive(self.now_ms, from, &datagram.bytes, &mut events, &mut out);
             debug_assert!(result.is_ok(), "{result:?}");
-            self.fetch(index, events);
-            self.post(index, out);
+            self.schedule_fetches(index, events);
+            self.put_in_transit(index, out);
         }
     }
 
-    fn send(&mut self) {
+    fn poll_hosts(&mut self) {
         for index in 0..self.hosts.len() {
             let mut out = Vec::new();
             self.hosts[index].poll(self.now_ms, &mut out);
-            self.post(index, out);
+            self.put_in_transit(index, out);
         }
     }
 
-    fn post(&mut self, from: usize, out: Vec<OutgoingDatagram>) {
+    fn put_in_transit(&mut self, from: usize, out: Vec<OutgoingDatagram>) {
         for datagram in out {
             if self.rng.random_range(0..1_000) < LOSS_PERMILLE {
                 continue;
@@ -462,9 +463,9 @@
             let reports = gossip.store().endpoints.values();
             let ages = reports.map(|record| (self.now_ms - record.report.measured_ms).0);
             self.ages.reports.extend(ages);
-            let beats = gossip.store().hosts.values();
-            let ages = beats.map(|record| (self.now_ms - Millis(record.newest_sequence)).0);
-            self.ages.beats.extend(ages);
+            let heartbeats = gossip.store().hosts.values();
+            let ages = heartbeats.map(|record| (self.now_ms - Millis(record.newest_sequence)).0);
+            self.ages.heartbeats.extend(ages);
             let own = gossip.region();
             let others = gossip.store().summaries.values();
             let others = others.filter(|record| record.summary.region != *own);
--- a/src/peer/store.rs
+++ b/src/peer/store.rs
@@ -1,8 +1,8 @@
-//! The newest fact of each source, as heard through gossip.
+//! The newest record of each host, endpoint and region, as received by gossip.
 //!
-//! A fact is replaced only by a newer one of the same source. Heartbeats are
-//! ordered by their sequence, which is the sender's clock and so also orders
-//! the runs of one host; reports and summaries are ordered by their time.
+//! A record is replaced only by a newer one of the same subject. Heartbeats are
+//! ordered by their sequence, which is the sender's clock and therefore also orders
+//! the incarnations of one host. Reports and summaries are ordered by their time.
 
 use std::{
     collections::{
@@ -37,64 +37,66 @@
     }, //
 };
 
-/// A host not heard from for this long is not counted as live.
-pub const HOST_FORGET_MS: Millis = Millis(10_000);
-/// Silent hosts are remembered this long, so that late datagrams do not revive them.
+/// Time without a new heartbeat after which a host no longer counts as live.
+pub const HOST_LIVENESS_TIMEOUT_MS: Millis = Millis(10_000);
+/// How long a silent host is kept, so that late datagrams do not make it live again.
 const HOST_RETENTION_MS: Millis = Millis(120_000);
-/// Endpoints without a report for this long are dropped.
+/// How long an endpoint without new reports is kept.
 const ENDPOINT_RETENTION_MS: Millis = Millis(60_000);
-/// Summaries of a region that is cut off are kept for its hosts' addresses.
+/// How long the summary of an unreachable region is kept; it holds the addresses of
+/// the region's hosts.
 const SUMMARY_RETENTION_MS: Millis = Millis(3_600_000);
-/// Short heartbeats alone are passed on to the decisions at most this often.
+/// Minimum time between events of one host while only compact heartbeats without
+/// a new revision arrive.
 const MIN_HEARTBEAT_EVENT_INTERVAL_MS: Millis = Millis(200);
-/// How often each host sends a changed fact in full.
+/// How many times each host sends a changed record in full.
 const CHANGED_RECORD_SENDS: u8 = 4;
-/// How often each host sends the fact that a host or an endpoint is leaving.
+/// How many times each host sends the full record of a leaving host or endpoint.
 const LEAVING_RECORD_SENDS: u8 = 8;
 
-/// Something that gossip learned.
+/// A change of the store that others need to know.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GossipEvent {
-    /// A host lives, or its description changed.
+    /// A host has a newer heartbeat.
     Heartbeat(Heartbeat),
     /// An endpoint has a newer report.
     Report(EndpointReport),
     /// A region has a newer summary.
     Summary(RegionSummary),
-    /// A host has a higher revision than this host.
+    /// A host has a higher revision in force than this host.
     HigherRevision(RevisionSource),
 }
 
 /// Where a higher revision can be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RevisionSource {
-    /// A host that has it.
+    /// A host that has the revision in force.
     pub host: HostId,
     /// Its address for other hosts.
     pub peer_address: SocketAddr,
-    /// Its revision, or the lowest one of its region.
+    /// The host's revision, or the lowest one of its region.
     pub revision: Revision,
 }
 
-/// A host with the state of its dissemination.
+/// A host, and how often and when its record was sent.
 #[derive(Debug, Clone)]
 pub struct HostRecord {
     /// Newest full heartbeat.
     pub heartbeat: Heartbeat,
-    /// Short name of this run.
+    /// Short identifier of this incarnation.
     pub id: ShortId,
-    /// Newest sequence, also from beats.
+    /// Newest heartbeat sequence, from full or compact heartbeats.
     pub newest_sequence: u64,
-    /// When `beat` arrived here.
+    /// When `newest_sequence` was received.
     pub last_received_ms: Millis,
-    /// How often `beat` was sent.
+    /// How many times a compact heartbeat with `newest_sequence` was sent.
     pub compact_sends: u32,
-    /// When an event of the host was last passed on to the decisions.
+    /// When an event of the host was last emitted.
     last_event_ms: Millis,
     last_event_sequence: u64,
-    /// How often the full fact is still sent with priority.
+    /// How many more times the full record is sent with priority.
     pub full_sends_left: u8,
-    /// When the full fact was last sent.
+    /// When the full record was last sent.
     pub full_last_sent_ms: Millis,
 }
 
@@ -113,12 +115,13 @@
         }
     }
 
-    /// Whether it was heard recently.
+    /// Whether a heartbeat was received within [`HOST_LIVENESS_TIMEOUT_MS`].
     pub fn is_live(&self, now_ms: Millis) -> bool {
-        now_ms - self.last_received_ms < HOST_FORGET_MS
+        now_ms - self.last_received_ms < HOST_LIVENESS_TIMEOUT_MS
     }
 
-    /// The heartbeat as an event, numbered so that it replaces earlier ones.
+    /// Returns the heartbeat as an event, with a sequence above that of earlier
+    /// events.
     fn next_event(&mut self, now_ms: Millis) -> GossipEvent {
         self.last_event_ms = now_ms;
         self.last_event_sequence = self.newest_sequence.max(self.last_event_sequence + 1);
@@ -128,40 +131,41 @@
     }
 }
 
-/// An endpoint with the state of its dissemination.
+/// An endpoint, and how often and when its record was sent.
 #[derive(Debug, Clone)]
 pub struct EndpointRecord {
     /// Newest report.
     pub report: EndpointReport,
-    /// Short name of this run.
+    /// Short identifier of this incarnation.
     pub id: ShortId,
-    /// When the newest report arrived here.
+    /// When the newest report was received or measured.
     pub last_received_ms: Millis,
-    /// How often the full fact is still sent with priority.
+    /// How many more times the full record is sent with priority.
     pub full_sends_left: u8,
-    /// When the full fact was last sent.
+    /// When the full record was last sent.
     pub full_last_sent_ms: Millis,
-    /// How often the current load was sent.
+    /// How many times the newest load was sent as a compact report.
     pub compact_sends: u32,
 }
 
-/// A region summary with the state of its dissemination.
+/// A region summary, and how often and when it was sent.
 #[derive(Debug, Clone)]
 pub struct SummaryRecord {
     /// Newest summary.
     pub summary: RegionSummary,
-    /// Short name of its description.
+    /// Short identifier of the region's targets, slots and hosts.
     pub id: ShortId,
-    /// When it arrived here.
+    /// When the newest summary was received or made.
     pub last_received_ms: Millis,
-    /// How often the full fact is still sent with priority.
+    /// How many more times the full record is sent with priority.
     pub full_sends_left: u8,
-    /// When the full fact was last sent within the region.
+    /// When the full record was last sent within the region.
     pub full_last_sent_ms: Millis,
-    /// How often the current state was sent.
+    /// How many times the newest state was sent as a compact summary.
     pub compact_sends: u32,
 }
 
+/// Host, endpoint or region that a short identifier stands for.
 #[derive(Debug, Clone)]
 enum IdOwner {
     Host(HostId),
@@ -169,10 +173,10 @@
     Region(RegionId),
 }
 
-/// Newest facts by source.
+/// Newest records by subject.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// Hosts of all regions that were heard.
+    /// Hosts of all regions whose heartbeats were received.
     pub hosts: BTreeMap<HostId, HostRecord>,
     /// Endpoints of this region.
     pub endpoints: BTreeMap<EndpointId, EndpointRecord>,
@@ -181,22 +185,23 @@
     id_owners: HashMap<ShortId, IdOwner>,
 }
 
-/// Whether a short name is known here.
+/// Whether a short identifier could be resolved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdLookup {
-    /// It is known.
+    /// The record is known.
     Found,
-    /// The full fact is missing.
+    /// The full record is missing.
     NotFound,
 }
 
 impl Store {
-    /// Nothing known yet.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over a full heartbeat; returns true if its description is new.
+    /// Applies a full heartbeat; returns true if the host is new or more than its
+    /// sequence, revision and open requests changed.
     pub fn apply_heartbeat(
         &mut self,
         now_ms: Millis,
@@ -253,16 +258,16 @@
         self.hosts.insert(host, record);
     }
 
-    /// Takes over a short heartbeat.
+    /// Applies a compact heartbeat unless a newer one is known.
     pub fn apply_compact_heartbeat(
         &mut self,
         now_ms: Millis,
-        beat: &CompactHeartbeat,
+        compact: &CompactHeartbeat,
         sequence: u64,
         revision: Revision,
         events: &mut Vec<GossipEvent>,
     ) -> IdLookup {
-        let Some(IdOwner::Host(host)) = self.id_owners.get(&beat.id) else {
+        let Some(IdOwner::Host(host)) = self.id_owners.get(&compact.id) else {
             return IdLookup::NotFound;
         };
         let Some(known) = self.hosts.get_mut(host) else {
@@ -276,14 +281,15 @@
         known.compact_sends = 0;
         known.last_received_ms = now_ms;
         known.heartbeat.revision = revision.max(known.heartbeat.revision);
-        known.heartbeat.open_requests = beat.open_requests;
+        known.heartbeat.open_requests = compact.open_requests;
         if is_changed || now_ms - known.last_event_ms >= MIN_HEARTBEAT_EVENT_INTERVAL_MS {
             events.push(known.next_event(now_ms));
         }
         IdLookup::Found
     }
 
-    /// Takes over a full report; returns true if more than the load is new.
+    /// Applies a full report unless a newer one is known; returns true if the
+    /// endpoint, its incarnation or its leaving state is new.
     pub fn apply_report(
         &mut self,
         now_ms: Millis,
@@ -295,8 +301,8 @@
             return false;
         }
         let same_run = known.filter(|known| known.report.incarnation == report.incarnation);
-        // A leaving endpoint stays leaving for the rest of its run, also when
-        // a host that has not noticed yet measures it later.
+        // A leaving endpoint stays leaving for the rest of its incarnation, also when
+        // a host that has not detected it yet reports a later measurement.
         report.is_leaving |= same_run.is_some_and(|known| known.report.is_leaving);
         let is_changed = same_run.is_none_or(|k| k.report.is_leaving != report.is_leaving);
         let full_sends_left = match same_run {
@@ -323,15 +329,15 @@
         is_changed
     }
 
-    /// Takes over a load.
+    /// Applies a compact report unless a newer one is known.
     pub fn apply_compact_report(
         &mut self,
         now_ms: Millis,
-        load: &CompactReport,
+        compact: &CompactReport,
         measured_ms: Millis,
         events: &mut Vec<GossipEvent>,
     ) -> IdLookup {
-        let Some(IdOwner::Endpoint(endpoint)) = self.id_owners.get(&load.id) else {
+        let Some(IdOwner::Endpoint(endpoint)) = self.id_owners.get(&compact.id) else {
             return IdLookup::NotFound;
         };
         let Some(known) = self.endpoints.get_mut(endpoint) else {
@@ -341,16 +347,16 @@
             return IdLookup::Found;
         }
         known.report.measured_ms = measured_ms;
-        known.report.running = load.running;
-        known.report.waiting = load.waiting;
-        known.report.cache_permille = load.cache_permille;
+        known.report.running = compact.running;
+        known.report.waiting = compact.waiting;
+        known.report.cache_permille = compact.cache_permille;
         known.last_received_ms = now_ms;
         known.compact_sends = 0;
         events.push(GossipEvent::Report(known.report.clone()));
         IdLookup::Found
     }
 
-    /// Takes over a full summary unless a newer one is known.
+    /// Applies a full summary unless a newer one is known.
     pub fn apply_summary(
         &mut self,
         now_ms: Millis,
@@ -380,28 +386,28 @@
         events.push(GossipEvent::Summary(summary));
     }
 
-    /// Takes over the state of a region.
+    /// Applies a compact summary unless a newer one is known.
     pub fn apply_compact_summary(
         &mut self,
         now_ms: Millis,
-        beat: &CompactSummary,
+        compact: &CompactSummary,
         made_ms: Millis,
         lowest_revision: Revision,
         events: &mut Vec<GossipEvent>,
     ) -> IdLookup {
-        let Some(IdOwner::Region(region)) = self.id_owners.get(&beat.id) else {
+        let Some(IdOwner::Region(region)) = self.id_owners.get(&compact.id) else {
             return IdLookup::NotFound;
         };
         let Some(known) = self.summaries.get_mut(region) else {
             return IdLookup::NotFound;
         };
         let summary = &mut known.summary;
-        if made_ms <= summary.made_ms || beat.busy.len() != summary.capacity.len() {
+        if made_ms <= summary.made_ms || compact.busy.len() != summary.capacity.len() {
             return IdLookup::Found;
         }
         summary.made_ms = made_ms;
         summary.lowest_revision = lowest_revision;
-        for (capacity, busy) in summary.capacity.iter_mut().zip(&beat.busy) {
+        for (capacity, busy) in summary.capacity.iter_mut().zip(&compact.busy) {
             capacity.busy = *busy;
         }
         known.last_received_ms = now_ms;
@@ -410,7 +416,7 @@
         IdLookup::Found
     }
 
-    /// Drops what is too old to be of use.
+    /// Removes records that were not updated within their retention time.
     pub fn remove_expired(&mut self, now_ms: Millis) {
         self.hosts
             .retain(|_, record| now_ms - record.last_received_ms < HOST_RETENTION_MS);
@@ -427,7 +433,7 @@
         });
     }
 
-    /// The host with this short name.
+    /// Returns the host with this short identifier.
     pub fn host_by_id(&self, id: ShortId) -> Option<&HostRecord> {
         match self.id_owners.get(&id)? {
             IdOwner::Host(host) => self.hosts.get(host),
@@ -435,7 +441,7 @@
         }
     }
 
-    /// The endpoint with this short name.
+    /// Returns the endpoint with this short identifier.
     pub fn endpoint_by_id(&self, id: ShortId) -> Option<&EndpointRecord> {
         match self.id_owners.get(&id)? {
             IdOwner::Endpoint(endpoint) => self.endpoints.get(endpoint),
@@ -443,7 +449,7 @@
         }
     }
 
-    /// The region whose description has this short name.
+    /// Returns the region whose targets, slots and hosts have this short identifier.
     pub fn region_by_id(&self, id: ShortId) -> Option<&SummaryRecord> {
         match self.id_owners.get(&id)? {
             IdOwner::Region(region) => self.summaries.get(region),
@@ -476,17 +482,17 @@
     }
 }
 
-/// Short name of one run of a host.
+/// Returns the short identifier of one incarnation of a host.
 pub fn host_short_id(host: &HostId, incarnation: Incarnation) -> ShortId {
     short_id("host", host.as_str(), incarnation)
 }
 
-/// Short name of one run of an endpoint.
+/// Returns the short identifier of one incarnation of an endpoint.
 pub fn endpoint_short_id(endpoint: &EndpointId, incarnation: Incarnation) -> ShortId {
     short_id("endpoint", endpoint.as_str(), incarnation)
 }
 
-/// Short name of the description of a region: its targets, slots and hosts.
+/// Returns the short identifier of a region with its targets, slots and hosts.
 pub fn region_short_id(summary: &RegionSummary) -> ShortId {
     let mut text = format!("region/{}", summary.region);
     for capacity in &summary.capacity {
@@ -504,7 +510,7 @@
 
 fn short_id_of(text: &str) -> ShortId {
     let hash = xxh3_64(text.as_bytes());
-    // 32 bits make two of the 250 names of a full-size region collide with a
-    // probability below 1 in 100,000.
+    // With 32 bits, the probability that any two of the 250 identifiers of a
+    // full-size region collide is below 1 in 100,000.
     ShortId((hash as u32).to_be_bytes())
 }
