--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -1,5 +1,5 @@
-//! Guards against facts that do not reach every host, or cost more bytes than
-//! the control budget, when datagrams are lost, repeated or reordered.
+//! Guards against gossip records that do not reach every host, or that cost more
+//! bytes than the control budget, when datagrams are lost, duplicated or reordered.
 
 use std::{
     collections::BTreeMap,
@@ -58,7 +58,7 @@
     is_running: bool,
 }
 
-/// Hosts with a seeded in-memory delivery between them.
+/// Hosts with a simulated network between them; its faults are seeded.
 struct Net {
     nodes: Vec<Node>,
     in_transit: BTreeMap<Millis, Vec<(usize, OutgoingDatagram)>>,
@@ -67,9 +67,10 @@
     loss_percent: u32,
     duplicate_percent: u32,
     max_delay_ms: u64,
-    cut: Option<(RegionId, RegionId)>,
+    /// Two regions whose hosts do not reach each other.
+    partitioned_regions: Option<(RegionId, RegionId)>,
     /// Hosts below this index and the others do not reach each other.
-    split: Option<usize>,
+    partitioned_at: Option<usize>,
 }
 
 fn region(name: &str) -> RegionId {
@@ -137,8 +138,8 @@
             loss_percent: 0,
             duplicate_percent: 0,
             max_delay_ms: 20,
-            cut: None,
-            split: None,
+            partitioned_regions: None,
+            partitioned_at: None,
         }
     }
 
@@ -149,26 +150,29 @@
         self
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        if self.split.is_some_and(|split| (a < split) != (b < split)) {
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        if self
+            .partitioned_at
+            .is_some_and(|first| (a < first) != (b < first))
+        {
             return true;
         }
         let (a, b) = (
             &self.nodes[a].heartbeat.region,
             &self.nodes[b].heartbeat.region,
         );
-        let cut = self.cut.as_ref();
-        cut.is_some_and(|(x, y)| (a, b) == (x, y) || (a, b) == (y, x))
+        let regions = self.partitioned_regions.as_ref();
+        regions.is_some_and(|(x, y)| (a, b) == (x, y) || (a, b) == (y, x))
     }
 
     fn post(&mut self, from: usize, out: Vec<OutgoingDatagram>) {
         for datagram in out {
             let to = usize::from(datagram.to.port() - 7_000);
-            if self.rng.random_range(0..100) < self.loss_percent || self.is_cut(from, to) {
+            if self.rng.random_range(0..100) < self.loss_percent || self.is_partitioned(from, to) {
                 continue;
             }
-            let is_repeated = self.rng.random_range(0..100) < self.duplicate_percent;
-            for _ in 0..1 + u32::from(is_repeated) {
+            let is_duplicated = self.rng.random_range(0..100) < self.duplicate_percent;
+            for _ in 0..1 + u32::from(is_duplicated) {
                 let delay_ms = Millis(self.rng.random_range(1..=self.max_delay_ms));
                 let due = self.in_transit.entry(self.now_ms + delay_ms).or_default();
                 due.push((from, datagram.clone()));
@@ -231,8 +235,8 @@
             .set_own_heartbeat(self.now_ms, node.heartbeat.clone());
     }
 
-    /// Puts a summary of the region's hosts at each of its hosts, as the
-    /// decisions do from time to time.
+    /// Sets the summary of its region at each host, as a running host does from time
+    /// to time.
     fn put_summaries(&mut self) {
         let now_ms = self.now_ms;
         let all: Vec<Heartbeat> = self.nodes.iter().map(|n| n.heartbeat.clone()).collect();
@@ -322,23 +326,23 @@
 }
 
 #[test]
-fn a_leaving_endpoint_stays_leaving_until_its_next_run() {
+fn a_leaving_endpoint_stays_leaving_until_its_next_incarnation() {
     let mut net = Net::new(&["stred"], 2, 1);
     let gossip = &mut net.nodes[0].gossip;
     let mut leaving = report("e", START_MS);
     leaving.is_leaving = true;
-    let late_view = report("e", START_MS + Millis(500));
-    let mut next_run = report("e", START_MS + Millis(900));
-    next_run.incarnation = Incarnation(2);
+    let outdated_report = report("e", START_MS + Millis(500));
+    let mut next_incarnation = report("e", START_MS + Millis(900));
+    next_incarnation.incarnation = Incarnation(2);
     let mut events = Vec::new();
 
-    for report in [leaving, late_view, next_run] {
+    for report in [leaving, outdated_report, next_incarnation] {
         gossip.apply_local_report(START_MS, report, &mut events);
     }
 
     let is_leaving: Vec<bool> = events
         .iter()
-        .filter_map(|events| match events {
+        .filter_map(|event| match event {
             GossipEvent::Report(report) => Some(report.is_leaving),
             _ => None,
         })
@@ -347,7 +351,7 @@
 }
 
 #[test]
-fn a_stopped_host_is_not_revived_by_late_datagrams() {
+fn a_stopped_host_does_not_become_live_again_by_late_datagrams() {
     let mut net = Net::new(&["stred"], 12, 3).with_faults(5, 20, 200);
     net.run(8_000);
     net.nodes[5].is_running = false;
@@ -359,15 +363,15 @@
 
     net.run(30_000);
 
-    let mentions = net.nodes.iter().flat_map(|node| &node.events);
-    let revived = mentions
-        .filter(|events| matches!(events, GossipEvent::Heartbeat(h) if h.host == stopped))
+    let events = net.nodes.iter().flat_map(|node| &node.events);
+    let revived = events
+        .filter(|event| matches!(event, GossipEvent::Heartbeat(h) if h.host == stopped))
         .count();
     assert_eq!(revived, 0);
 }
 
 #[test]
-fn a_restarted_host_replaces_its_former_run() {
+fn a_restarted_host_replaces_its_previous_incarnation() {
     let mut net = Net::new(&["stred"], 6, 4);
     net.run(5_000);
     let mut own = net.nodes[2].heartbeat.clone();
@@ -389,18 +393,18 @@
 }
 
 #[test]
-fn halves_of_a_region_that_forgot_each_other_find_together_again() {
+fn hosts_of_a_region_reconnect_after_a_long_partition() {
     let mut net = Net::new(&["stred"], 10, 6).with_faults(5, 5, 50);
     net.run(8_000);
     assert!(net.all_are_live_everywhere());
-    net.split = Some(4);
+    net.partitioned_at = Some(4);
     net.run(25_000);
     assert!(!net.all_are_live_everywhere());
 
-    net.split = None;
+    net.partitioned_at = None;
     let took_ms = net.run_until(10_000, Net::all_are_live_everywhere);
 
-    println!("10 hosts in two halves found together in {took_ms} ms");
+    println!("10 hosts in two partitions reconnected in {took_ms} ms");
     assert!(took_ms < 4_000, "took {took_ms} ms");
 }
 
@@ -420,7 +424,7 @@
     let config = GossipConfig::new(own.host.clone(), own.incarnation, own.region.clone())
         .with_seeds(vec![address(0)])
         .with_budget(500);
-    // Started again, it writes one datagram a second, in turn to both regions.
+    // After its restart it sends one datagram a second, alternately to both regions.
     let mut gossip = Gossip::new(config, &ClusterKey::new(b"test"));
     let own = Heartbeat {
         incarnation: Incarnation(0),
@@ -447,7 +451,7 @@
 }
 
 #[test]
-fn a_host_that_was_frozen_is_heard_again() {
+fn a_host_that_was_paused_becomes_live_again() {
     let mut net = Net::new(&["stred"], 8, 7);
     net.run(8_000);
     net.nodes[3].is_running = false;
@@ -460,16 +464,16 @@
 }
 
 #[test]
-fn a_cut_between_two_regions_is_bridged_by_the_third() {
+fn a_third_region_relays_between_two_partitioned_ones() {
     let mut net = Net::new(&["stred", "zapad", "sever"], 3, 9).with_faults(5, 5, 160);
     for _ in 0..10 {
         net.put_summaries();
         net.run(500);
     }
-    net.cut = Some((region("stred"), region("zapad")));
+    net.partitioned_regions = Some((region("stred"), region("zapad")));
     net.run(2_000);
-    // A host of the first region gets revision 6; each host that is told of a
-    // higher revision fetches it, unless the cut is in the way.
+    // A host of the first region gets revision 6. Each host that learns of a higher
+    // revision fetches it, unless the partition separates it from the source.
     net.set_revision(0, 6);
     let start_ms = net.now_ms;
     for node in &mut net.nodes {
@@ -481,27 +485,30 @@
         net.run(100);
         for index in 0..net.nodes.len() {
             let events = std::mem::take(&mut net.nodes[index].events);
-            for item in events {
-                let GossipEvent::HigherRevision(source) = item else {
+            for event in events {
+                let GossipEvent::HigherRevision(source) = event else {
                     continue;
                 };
                 let from = usize::from(source.peer_address.port() - 7_000);
-                if !net.is_cut(index, from) {
+                if !net.is_partitioned(index, from) {
                     let revision = net.nodes[from].heartbeat.revision;
                     net.set_revision(index, revision.0.max(5));
                 }
             }
         }
-        assert!((net.now_ms - start_ms).0 < 10_000, "revision 6 got stuck");
+        assert!(
+            (net.now_ms - start_ms).0 < 10_000,
+            "revision 6 did not reach every host within 10 s"
+        );
     }
 
     let took_ms = (net.now_ms - start_ms).0;
-    println!("revision in force at 9 hosts across the cut in {took_ms} ms");
+    println!("revision in force at 9 hosts across the partition in {took_ms} ms");
     assert!(took_ms < 4_000, "took {took_ms} ms");
 }
 
 #[test]
-fn the_byte_budget_holds_at_full_size() {
+fn gossip_stays_within_its_byte_budget_at_full_size() {
     for (hosts, endpoints) in [(3, 12), (9, 24), (66, 180), (132, 360)] {
         let cost = measure_region(hosts, endpoints, 20);
         println!("{cost:?}");
@@ -531,7 +538,7 @@
 }
 
 #[test]
-fn hosts_hear_each_other_and_a_final_heartbeat_over_real_sockets() {
+fn heartbeats_reach_all_hosts_over_real_sockets_including_the_last_one() {
     let key = ClusterKey::new(b"test");
     let sockets: Vec<UdpSocket> = (0..3)
         .map(|_| UdpSocket::bind("127.0.0.1:0").expect("bound"))
@@ -549,21 +556,21 @@
             .with_seeds(vec![addresses[0]]);
         let sender = sender.clone();
         let host = own.host.clone();
-        let started = GossipSocket::start(socket, config, &key, move |events| {
-            let _ = sender.send((host.clone(), events));
+        let started = GossipSocket::start(socket, config, &key, move |event| {
+            let _ = sender.send((host.clone(), event));
         });
         let started = started.expect("started");
         started.publish(LocalUpdate::Heartbeat(own.clone()));
         running.push((started, own));
     }
 
-    let mut heard = std::collections::BTreeSet::new();
-    while heard.len() < 6 {
-        let (by, events) = receiver
+    let mut received = std::collections::BTreeSet::new();
+    while received.len() < 6 {
+        let (by, event) = receiver
             .recv_timeout(Duration::from_secs(5))
             .expect("six pairs within 5 s of silence");
-        if let GossipEvent::Heartbeat(heartbeat) = events {
-            heard.insert((by, heartbeat.host));
+        if let GossipEvent::Heartbeat(heartbeat) = event {
+            received.insert((by, heartbeat.host));
         }
     }
 
@@ -572,13 +579,13 @@
     stopping.publish(LocalUpdate::Heartbeat(own.clone()));
     stopping.stop();
 
-    let mut told = std::collections::BTreeSet::new();
-    while told.len() < 2 {
-        let (by, events) = receiver
+    let mut informed = std::collections::BTreeSet::new();
+    while informed.len() < 2 {
+        let (by, event) = receiver
             .recv_timeout(Duration::from_secs(5))
-            .expect("two hosts hear of it");
-        if matches!(events, GossipEvent::Heartbeat(h) if h.host == own.host && h.is_leaving) {
-            told.insert(by);
+            .expect("both other hosts receive the last heartbeat");
+        if matches!(event, GossipEvent::Heartbeat(h) if h.host == own.host && h.is_leaving) {
+            informed.insert(by);
         }
     }
 }
--- a/tests/peer_link.rs
+++ b/tests/peer_link.rs
@@ -1,4 +1,4 @@
-//! Guards against a request that is called unsent although it ran, an answer
+//! Guards against a request that is reported as not sent although it ran, a response
 //! that reaches the wrong exchange, and a connection without the cluster key.
 
 use std::{
@@ -138,7 +138,8 @@
     PeerServer::new(key(), identity("server"))
 }
 
-/// Reads the body and answers it in two pieces between head and end.
+/// Reads the body and responds with its length, in two body frames between head and
+/// end.
 fn echo_length(exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
     let body = exchange.read_body(soon())?;
     let head = Frame::ResponseHead {
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn long_final_answers_arrive_whole() {
+fn long_final_responses_arrive_complete() {
     let fixture = Fixture::start(server(), |exchange| {
         exchange.finish(&Frame::Changes, &vec![9; BODY_BYTES], soon())
     });
@@ -201,14 +202,14 @@
     assert_eq!(answer.payload, vec![9; BODY_BYTES]);
 }
 
-/// What a relay does with a connection.
+/// Fault that a relay injects into a connection.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     /// Closes both sides after this many frames from the client.
     CutAfterClientFrames(usize),
     /// Closes both sides after this many frames from the server.
     CutAfterServerFrames(usize),
-    /// Changes one bit in this frame from the server.
+    /// Flips one bit in this frame from the server.
     ChangeServerFrame(usize),
 }
 
@@ -257,8 +258,8 @@
 }
 
 #[test]
-fn a_cut_after_each_client_frame_tells_whether_the_request_was_sent() {
-    // Frames: hello, proof, request and three body pieces.
+fn a_cut_after_each_client_frame_reports_correctly_whether_the_request_was_sent() {
+    // Frames: hello, proof, request and three frames of the body.
     for frames in 0..=6 {
         let ran = Arc::new(AtomicUsize::new(0));
         let counter = Arc::clone(&ran);
@@ -280,7 +281,8 @@
                     Err(SendError::NotSent { .. }) => false,
                     Err(SendError::PartlySent { .. }) => true,
                     Ok(mut exchange) => {
-                        // The answer may race with the cut after the last piece.
+                        // After the last body frame, the response may arrive
+                        // before the cut.
                         let answer = exchange.collect(100, soon());
                         assert!(answer.is_err() || frames == 6, "after {frames}");
                         true
@@ -293,13 +295,16 @@
         assert!(fixture.wait_for(|server| server.counts().open_connections == 0));
         let has_run = ran.load(Ordering::SeqCst) > 0;
         assert_eq!(has_run, frames >= 3, "after {frames}");
-        assert!(is_sent || !has_run, "ran although unsent, after {frames}");
+        assert!(
+            is_sent || !has_run,
+            "ran although reported as not sent, after {frames}"
+        );
     }
 }
 
 #[test]
-fn a_cut_after_each_server_frame_never_gives_a_whole_answer() {
-    // Frames: welcome, head, two pieces and end.
+fn a_cut_after_each_server_frame_never_gives_a_complete_response() {
+    // Frames: welcome, head, two frames of the body and end.
     for frames in 0..5 {
         let fixture = Fixture::start(server(), echo_length);
         let address = relay(fixture.address, Fault::CutAfterServerFrames(frames));
@@ -313,7 +318,7 @@
 }
 
 #[test]
-fn a_changed_bit_is_detected() {
+fn a_flipped_bit_is_detected() {
     for frame in 0..5 {
         let fixture = Fixture::start(server(), echo_length);
         let address = relay(fixture.address, Fault::ChangeServerFrame(frame));
@@ -328,7 +333,7 @@
 }
 
 #[test]
-fn an_answer_to_another_exchange_closes_the_connection() {
+fn a_response_to_another_exchange_closes_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -345,14 +350,14 @@
     let started = ready.send(Unsent::new(), &Frame::Ping, &[], soon());
     let result = started.expect("sent").next_message(soon());
 
-    let is_crossed = matches!(
+    let is_wrong_exchange = matches!(
         result,
         Err(LinkError::WrongExchange {
             expected: 1,
             found: 2
         })
     );
-    assert!(is_crossed, "{result:?}");
+    assert!(is_wrong_exchange, "{result:?}");
     assert_eq!(client.idle_connections(address), 0);
 }
 
@@ -402,16 +407,16 @@
 #[test]
 fn another_host_at_the_address_is_refused_before_anything_is_sent() {
     let fixture = Fixture::start(server(), echo_length);
-    let meant = identity("other").host;
+    let expected = identity("other").host;
 
-    let result = client().acquire(Some(&meant), fixture.address, soon());
+    let result = client().acquire(Some(&expected), fixture.address, soon());
 
     assert!(matches!(result, Err(LinkError::WrongHost { .. })));
 }
 
 #[test]
-fn a_cancelled_exchange_is_noticed_by_the_handler() {
-    let (sender, noticed) = mpsc::channel();
+fn the_handler_detects_a_cancelled_exchange() {
+    let (sender, detected) = mpsc::channel();
     let fixture = Fixture::start(server(), move |exchange| {
         exchange.read_body(soon())?;
         let deadline = soon();
@@ -428,15 +433,15 @@
         .expect("ready")
         .send(Unsent::new(), &handover(), &body, soon());
     let mut exchange = started.expect("sent");
-    exchange.next_message(soon()).expect("first piece");
+    exchange.next_message(soon()).expect("first body frame");
 
     let _ = exchange.cancel();
 
-    assert_eq!(noticed.recv_timeout(Duration::from_secs(3)), Ok(true));
+    assert_eq!(detected.recv_timeout(Duration::from_secs(3)), Ok(true));
 }
 
 #[test]
-fn a_handler_without_a_final_frame_gives_no_answer() {
+fn a_handler_without_a_final_frame_gives_no_response() {
     let fixture = Fixture::start(server(), |_| Ok(()));
 
     let result = call(&client(), fixture.address);
@@ -449,8 +454,8 @@
 fn connections_per_host_are_limited_on_both_sides() {
     let fixture = Fixture::start(server().with_max_connections_per_host(1), echo_length);
     let client = client().with_max_connections(1);
-    // The client ends the handshake before the server counts the connection; a
-    // whole exchange on it is sure to come after that.
+    // The client completes the handshake before the server counts the connection;
+    // a complete exchange ensures that the server has counted it.
     assert!(call(&client, fixture.address).is_ok());
 
     let first = client
@@ -498,7 +503,7 @@
 }
 
 #[test]
-fn a_forward_is_served_only_if_its_origin_is_the_sender() {
+fn a_forwarded_request_is_served_only_if_its_origin_is_the_sender() {
     let (sender, requests) = mpsc::channel();
     let fixture = Fixture::start(server(), move |exchange| {
         let _ = sender.send(exchange.request().clone());
--- a/tests/peer_poller.rs
+++ b/tests/peer_poller.rs
@@ -1,5 +1,5 @@
-//! Guards against endpoints that nobody polls, loads that are misread, and
-//! leaving endpoints that are not noticed.
+//! Guards against endpoints that no host polls, loads that are parsed wrongly, and
+//! leaving endpoints that are not detected.
 
 use std::{
     collections::BTreeMap,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_page_with_several_engines_is_summed_up() {
+fn the_loads_of_several_engines_on_one_page_are_added() {
     let load = EngineLoad::parse(PAGE.as_bytes()).expect("valid page");
 
     assert_eq!((load.running, load.waiting), (7, 2));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_work_is_spread_over_all_hosts() {
+fn polling_is_spread_over_all_hosts() {
     let all = hosts(66);
     let endpoints: Vec<_> = (0..180)
         .map(|n| endpoint(&format!("engine-{n}"), 1))
@@ -144,11 +144,11 @@
     assert!(largest <= 16, "one host polls {largest} endpoints");
 }
 
-/// An engine whose health and metrics can be switched off.
+/// An engine whose health check and metrics page can be made to fail.
 struct Engine {
     is_leaving: Arc<AtomicBool>,
     has_metrics: Arc<AtomicBool>,
-    most_open: Arc<AtomicUsize>,
+    max_open_connections: Arc<AtomicUsize>,
     port: u16,
 }
 
@@ -157,17 +157,17 @@
     let engine = Engine {
         is_leaving: Arc::new(AtomicBool::new(false)),
         has_metrics: Arc::new(AtomicBool::new(true)),
-        most_open: Arc::new(AtomicUsize::new(0)),
+        max_open_connections: Arc::new(AtomicUsize::new(0)),
         port: listener.local_addr().expect("bound").port(),
     };
     let acceptor = Acceptor::new(64, Arc::new(AtomicBool::new(false)));
     let open = Arc::clone(&acceptor.open_connections);
     let leaving = Arc::clone(&engine.is_leaving);
     let metrics = Arc::clone(&engine.has_metrics);
-    let most_open = Arc::clone(&engine.most_open);
+    let max_open_connections = Arc::clone(&engine.max_open_connections);
     thread::spawn(move || {
         let serve = move |mut connection: cardamombridge::http::connection::Connection, _| {
-            most_open.fetch_max(open.load(Ordering::SeqCst), Ordering::SeqCst);
+            max_open_connections.fetch_max(open.load(Ordering::SeqCst), Ordering::SeqCst);
             thread::sleep(delay);
             let deadline = Instant::now() + Duration::from_secs(1);
             let head = connection.read_request_head(deadline);
@@ -190,15 +190,15 @@
     engine
 }
 
-fn fast() -> PollerConfig {
+fn short_intervals() -> PollerConfig {
     PollerConfig::new().with_times(Millis(30), Millis(400))
 }
 
 #[test]
-fn a_leaving_endpoint_is_reported_even_when_its_metrics_are_gone() {
+fn a_leaving_endpoint_is_reported_even_when_its_metrics_fail() {
     let engine = start_engine(Duration::ZERO);
     let (sender, reports) = mpsc::channel();
-    let poller = Poller::start(fast(), move |report| {
+    let poller = Poller::start(short_intervals(), move |report| {
         let _ = sender.send(report);
     });
     let poller = poller.expect("started");
@@ -220,13 +220,13 @@
 }
 
 #[test]
-fn unreachable_endpoints_are_counted_and_do_not_hold_up_the_others() {
+fn unreachable_endpoints_are_counted_and_do_not_delay_the_others() {
     let engine = start_engine(Duration::ZERO);
     let closed = TcpListener::bind("127.0.0.1:0").expect("bound");
     let closed_port = closed.local_addr().expect("bound").port();
     drop(closed);
     let (sender, reports) = mpsc::channel();
-    let poller = Poller::start(fast(), move |report| {
+    let poller = Poller::start(short_intervals(), move |report| {
         let _ = sender.send(report);
     });
     let poller = poller.expect("started");
@@ -247,7 +247,7 @@
 #[test]
 fn polls_at_the_same_time_are_bounded_and_late_rounds_are_skipped() {
     let engine = start_engine(Duration::from_millis(40));
-    let poller = Poller::start(fast(), |_| {}).expect("started");
+    let poller = Poller::start(short_intervals(), |_| {}).expect("started");
     let names = (0..12).map(|n| endpoint(&format!("engine-{n}"), engine.port));
     poller.set_targets(names.collect());
 
@@ -257,6 +257,6 @@
     }
 
     assert!(poller.counts().skipped_rounds > 0);
-    // A connection that is about to close may overlap with the next one.
-    assert!(engine.most_open.load(Ordering::SeqCst) <= 8);
+    // A closing connection may overlap with the next one.
+    assert!(engine.max_open_connections.load(Ordering::SeqCst) <= 8);
 }
--- a/tests/peer_wire.rs
+++ b/tests/peer_wire.rs
@@ -1,5 +1,5 @@
-//! Guards against datagrams that crash a host or are believed although they
-//! are damaged, forged, replayed or from a former run.
+//! Guards against datagrams that crash a host, or that it accepts although they are
+//! damaged, forged, replayed or from a previous incarnation.
 
 use cardamombridge::{
     peer::wire::{
@@ -111,18 +111,22 @@
 }
 
 #[test]
-fn a_former_run_is_refused_once_a_newer_one_was_heard() {
+fn a_previous_incarnation_is_refused_after_a_datagram_of_a_newer_one() {
     let mut decoder = decoder();
-    let mut former = encoder("a", 9);
+    let mut previous = encoder("a", 9);
     let mut newer = encoder("a", 3);
-    let first = former.encode(NOW_MS, body(1)).expect("encoded");
+    let first = previous.encode(NOW_MS, body(1)).expect("encoded");
     let second = newer.encode(NOW_MS + Millis(50), body(1)).expect("encoded");
-    let delayed = former
+    let delayed = previous
         .encode(NOW_MS + Millis(40), body(1))
         .expect("encoded");
 
-    decoder.decode(NOW_MS, &first).expect("first run accepted");
-    decoder.decode(NOW_MS, &second).expect("newer run accepted");
+    decoder
+        .decode(NOW_MS, &first)
+        .expect("first incarnation accepted");
+    decoder
+        .decode(NOW_MS, &second)
+        .expect("newer incarnation accepted");
 
     let result = decoder.decode(NOW_MS, &delayed);
     assert!(matches!(result, Err(WireError::OldIncarnation { .. })));
