--- a/tests/decision_accounts.rs
+++ b/tests/decision_accounts.rs
@@ -1,4 +1,4 @@
-//! Money, waste, time limits and what a region says of itself.
+//! Spending, waste, time limits and region summaries.
 
 mod decision_fixture;
 
@@ -39,8 +39,8 @@
     ledger.unwrap_or_default().spent
 }
 
-/// Spends an amount each second for ten minutes and returns the last request
-/// for a grant.
+/// Spends `each_second` micros per second for ten minutes and returns the amount of
+/// the last grant request.
 fn last_ask(each_second: u64) -> CostMicros {
     let (intents, policy) = (intents(), Policy::default());
     let caller: CallerId = id("wide");
@@ -63,8 +63,8 @@
     last
 }
 
-/// Guards against grants that lock up the budget in one host, and against so
-/// small ones that the platform's service is asked all the time.
+/// Guards against grants so large that one host ties up the budget, and so small
+/// that the platform's service is asked for them all the time.
 #[test]
 fn grants_cover_about_five_minutes() {
     let steady = last_ask(1_000);
@@ -74,9 +74,9 @@
     assert_eq!(last_ask(50_000), CostMicros(500_000));
 }
 
-/// Guards against a share of one period being spent in the next.
+/// Guards against grants of one period being spent in the next.
 #[test]
-fn shares_expire_with_their_period() {
+fn grants_expire_with_their_period() {
     let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 8)]);
     let event = Event::Arrived(arrival(1, "wide", at(1_030_000)));
 
@@ -88,7 +88,7 @@
     );
 }
 
-/// Guards against money and waste that do not match what was done.
+/// Guards against charges and waste that do not match the attempts made.
 #[test]
 fn costs_and_waste_are_counted() {
     let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 8)]);
@@ -97,15 +97,15 @@
         output: Tokens(100),
         cached: Tokens(512),
     };
-    let gone = AttemptOutcome::CallerDisconnected { wasted: Tokens(30) };
+    let disconnected = AttemptOutcome::CallerDisconnected { wasted: Tokens(30) };
 
     run(&mut gateway, at(0), ask(1));
     run(&mut gateway, at(10), ended(1, 0, cached));
-    // 100 tokens at 1,000 for a thousand; the prompt was cached.
+    // 100 tokens at 1,000 per thousand; the prompt was cached.
     assert_eq!(spent(&gateway), CostMicros(100));
     run(&mut gateway, at(20), ask(2));
-    run(&mut gateway, at(30), ended(2, 0, gone));
-    // 512 prompt tokens at 100 for a thousand and 30 tokens, rounded up.
+    run(&mut gateway, at(30), ended(2, 0, disconnected));
+    // 512 prompt tokens at 100 per thousand and 30 generated ones, rounded up.
     assert_eq!(spent(&gateway), CostMicros(182));
     run(
         &mut gateway,
@@ -124,21 +124,22 @@
     assert_eq!(gateway.waste(), waste);
 }
 
-/// Guards against an interrupted request spending what was not set aside.
+/// Guards against a retry of an interrupted request without a reservation of its
+/// own.
 #[test]
-fn each_attempt_is_paid_for() {
+fn each_attempt_reserves_its_cost() {
     let mut gateway = gateway(1, Policy::default());
     run(&mut gateway, START, Event::InForce(intents()));
     run(&mut gateway, START, listed(vec![endpoint("e1", 8)]));
-    // One whole attempt costs 452.
+    // One complete attempt costs 452.
     run(&mut gateway, START, granted("wide", 500));
-    let broken = AttemptOutcome::Interrupted {
+    let interrupted = AttemptOutcome::Interrupted {
         delivered: Tokens(400),
     };
 
     let event = Event::Arrived(arrival(1, "wide", at(30_000)));
     run(&mut gateway, START, event);
-    let mut actions = run(&mut gateway, at(10), ended(1, 0, broken));
+    let mut actions = run(&mut gateway, at(10), ended(1, 0, interrupted));
     actions.extend(run(&mut gateway, at(200), Event::Tick));
     let paid = run(&mut gateway, at(300), granted("wide", 500));
 
@@ -146,10 +147,10 @@
     assert!(matches!(paid[..], [.., Action::Send { .. }]), "{paid:?}");
 }
 
-/// Guards against requests waiting until their deadline for a grant whose answer
-/// was lost.
+/// Guards against requests that wait until their deadline because the answer to a
+/// grant request was lost.
 #[test]
-fn lost_grant_is_not_waited_for() {
+fn wait_for_a_lost_grant_is_bounded() {
     let mut gateway = gateway(1, Policy::default());
     run(&mut gateway, START, Event::InForce(intents()));
     run(&mut gateway, START, listed(vec![endpoint("e1", 8)]));
@@ -163,7 +164,7 @@
     assert!(matches!(due[..], [Action::Send { .. }]), "{due:?}");
 }
 
-/// Guards against a request under an id in use disturbing the first one.
+/// Guards against a request whose id is in use affecting the first request.
 #[test]
 fn id_in_use_is_ignored() {
     let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 8)]);
@@ -176,7 +177,8 @@
     assert_eq!(gateway.open_requests(), 1);
 }
 
-/// Guards against an unbounded queue.
+/// Guards against an unbounded queue: its length is limited by the deadline, the
+/// predicted wait and the configured length.
 #[test]
 fn queue_is_bounded() {
     let admitted = |policy| {
@@ -190,7 +192,7 @@
     };
     let policy = Policy::default;
 
-    // One leaves every 2.4 s, and runs 2.1 s before its deadline in 60 s.
+    // One request leaves every 2.4 s and runs for 2.1 s; all are due in 60 s.
     assert_eq!(admitted(policy()), 12);
     assert_eq!(
         admitted(Policy {
@@ -225,8 +227,8 @@
     ));
 }
 
-/// Guards against a request being held until its deadline when the queue before
-/// it has stopped moving.
+/// Guards against a request waiting until its deadline although the queue ahead of
+/// it does not drain.
 #[test]
 fn stuck_queue_refuses_what_cannot_finish() {
     let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 1)]);
@@ -267,13 +269,14 @@
     assert_eq!(known.revision, Revision(5));
 }
 
-/// Guards against a home that returns with cold caches taking all at once.
+/// Guards against the local region keeping all requests at once when it recovers
+/// with cold caches.
 #[test]
-fn returning_home_shares_its_work() {
-    let sent_away = |is_returning| {
+fn recovering_local_region_forwards_requests() {
+    let is_forwarded = |is_recovering| {
         let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 64)]);
         run(&mut gateway, at(0), Event::Tick);
-        if is_returning {
+        if is_recovering {
             run(&mut gateway, at(10), listed(Vec::new()));
             run(&mut gateway, at(20), Event::Tick);
             run(&mut gateway, at(30), listed(vec![endpoint("e1", 64)]));
@@ -294,14 +297,14 @@
         matches!(actions[..], [Action::Forward { .. }])
     };
 
-    assert!(sent_away(true));
-    assert!(!sent_away(false));
+    assert!(is_forwarded(true));
+    assert!(!is_forwarded(false));
 }
 
-/// Guards against other regions being told of hosts and capacity that they
-/// cannot use, or of a revision that not all hosts have.
+/// Guards against summaries with hosts or capacity that other regions cannot use,
+/// or with a revision that not all hosts have in force.
 #[test]
-fn summary_shows_what_others_can_use() {
+fn summary_contains_only_usable_hosts_and_capacity() {
     let mut old = endpoint("e2", 100);
     old.version = "v1".into();
     let mut leaving = endpoint("e3", 100);
--- a/tests/decision_choices.rs
+++ b/tests/decision_choices.rs
@@ -1,4 +1,4 @@
-//! Single choices: endpoints, regions, entry hosts, and what the view keeps.
+//! Choices of endpoints, regions and entry hosts, and updates of the view.
 
 mod decision_fixture;
 
@@ -54,7 +54,7 @@
     names.map(|name| endpoint(&name, slots)).collect()
 }
 
-/// Sends a request with a prefix and returns the endpoint that it went to.
+/// Sends a request with a prefix and returns the chosen endpoint.
 fn send(gateway: &mut Gateway, ms: u64, number: u128, prefix: &[u64]) -> Option<String> {
     let mut arrival = arrival(number, "wide", at(ms + 30_000));
     arrival.prefix_hashes = prefix.to_vec();
@@ -74,12 +74,12 @@
         .any(|one| matches!(one, Action::Forward { .. }))
 }
 
-fn summed_up(gateway: &mut Gateway, ms: u64, busy: u32) {
+fn receive_summary(gateway: &mut Gateway, ms: u64, busy: u32) {
     let event = Event::Summary(summary("zapad", at(ms), 100, busy));
     run(gateway, at(ms), event);
 }
 
-/// Eight hosts that know the same reports and each other.
+/// Eight hosts that have received the same load reports and each other's heartbeats.
 fn fleet(reported: &[u32]) -> Vec<Gateway> {
     let host = |seed| {
         let mut gateway = ready(seed, Policy::default(), endpoints(reported.len(), 32));
@@ -112,16 +112,17 @@
     sent.into_values().max().unwrap_or(0)
 }
 
-/// Guards against all hosts sending to the one endpoint that looked idle.
+/// Guards against all hosts sending their requests to the one endpoint that
+/// reported no load.
 #[test]
-fn hosts_do_not_pile_on_one_endpoint() {
+fn hosts_do_not_all_choose_one_endpoint() {
     let most = most_at_one_endpoint(&[]);
 
     // An even spread is 5; all at the idle endpoint would be 40.
     assert!(most <= 12, "{most} of 40 requests at one endpoint");
 }
 
-/// Guards against one popular prompt filling one endpoint.
+/// Guards against a popular prompt prefix overloading one endpoint.
 #[test]
 fn popular_prefix_spreads_under_load() {
     let most = most_at_one_endpoint(&[7, 8]);
@@ -129,8 +130,8 @@
     assert!(most <= 24, "{most} of 40 requests at one endpoint");
 }
 
-/// Guards against turns of a conversation meeting cold caches, also when another
-/// host sends them.
+/// Guards against turns of a conversation being sent to endpoints with cold caches,
+/// also when another host sends them.
 #[test]
 fn conversation_stays_at_its_endpoint() {
     let mut hosts = fleet(&[4, 4, 4, 4]);
@@ -143,10 +144,10 @@
     assert_eq!(elsewhere, first);
 }
 
-/// Guards against a memory of prefixes that grows for ever, or that outlives the
-/// cache that it stands for.
+/// Guards against a set of prefixes that grows without bound, or that is kept when
+/// the endpoint has restarted with an empty cache.
 #[test]
-fn prefixes_are_forgotten() {
+fn prefixes_are_dropped() {
     let mut memory = PrefixMemory::new();
     memory.note(&[1, 2, 3], 4);
     memory.note(&[1, 2, 4], 4);
@@ -168,8 +169,8 @@
     assert_eq!(known(&gateway), 0);
 }
 
-/// Guards against a silent endpoint looking idle, and against one full report
-/// keeping an endpoint out for ever.
+/// Guards against an endpoint that stops reporting appearing idle, and against one
+/// that is never chosen again after a report of full load.
 #[test]
 fn old_report_loses_its_weight() {
     let gateway = &fleet(&[0, 30])[0];
@@ -185,7 +186,7 @@
     assert_eq!(load("e2", 60_000), 15.0);
 }
 
-/// Guards against requests for one version running on another.
+/// Guards against requests for one version being served by another.
 #[test]
 fn only_the_version_in_force_is_used() {
     let mut old = endpoint("e1", 8);
@@ -197,9 +198,9 @@
     assert!(chosen.iter().all(|one| one.as_deref() == Some("e2")));
 }
 
-/// Guards against a crashed endpoint, which shows no load, drawing requests.
+/// Guards against a crashed endpoint, which reports no load, attracting requests.
 #[test]
-fn failed_endpoint_comes_last() {
+fn failed_endpoint_is_chosen_last() {
     let mut gateway = ready(1, Policy::default(), endpoints(2, 32));
     let failed = send(&mut gateway, 0, 1, &[]).expect("a free endpoint");
     run(&mut gateway, at(1), ended(1, 0, AttemptOutcome::NotSent));
@@ -212,10 +213,10 @@
     assert!(!next.contains(&failed));
 }
 
-/// Guards against a broken endpoint being tried every second, and against one
-/// break of many requests counting as many failures.
+/// Guards against a failing endpoint being tried every second, and against one
+/// failure that ends many requests counting as many failures.
 #[test]
-fn failures_in_a_row_double_the_wait() {
+fn consecutive_failures_double_the_wait() {
     let mut gateway = ready(1, Policy::default(), endpoints(1, 8));
     let mut fail_both = |ms, number| {
         send(&mut gateway, ms, number, &[]);
@@ -236,10 +237,10 @@
     assert_eq!(waits, [Some(1), Some(2), Some(4)]);
 }
 
-/// Guards against a list that drops an endpoint losing its requests, and
-/// against dropped endpoints being kept for ever.
+/// Guards against losing track of requests at an endpoint that is no longer listed,
+/// and against keeping the state of unlisted endpoints for ever.
 #[test]
-fn dropped_endpoint_is_kept_while_it_has_requests() {
+fn unlisted_endpoint_is_kept_while_it_has_requests() {
     let mut gateway = ready(1, Policy::default(), endpoints(1, 8));
     send(&mut gateway, 0, 1, &[]);
     let token = Event::FirstToken {
@@ -258,11 +259,12 @@
     assert!(gateway.view().endpoints.is_empty());
 }
 
-/// Guards against regions swinging: the margin for going is not met, the one for
-/// staying away is.
+/// Guards against oscillation between regions: at the same load, the margin for
+/// starting to forward is not met and the lower one for continuing is.
 #[test]
 fn region_choice_has_hysteresis() {
-    // A prefilled home costs more with each running request, away about 165 ms.
+    // Each running request slows the local region down; forwarding adds about 165 ms
+    // of network time.
     let policy = Policy {
         away_margin_ms: Millis(600),
         away_stay_ms: Millis(100),
@@ -273,7 +275,7 @@
     let load = |gateway: &mut Gateway, ms, running| {
         let event = Event::Report(report("e1", at(ms), running));
         run(gateway, at(ms), event);
-        summed_up(gateway, ms, 0);
+        receive_summary(gateway, ms, 0);
     };
 
     load(&mut gateway, 0, 8);
@@ -295,21 +297,24 @@
         .count()
 }
 
-/// Guards against all hosts filling another region's free slots between two of
-/// its summaries, and against requests to a host that was not reached.
+/// Guards against each host filling all free slots of another region between two of
+/// its summaries, and against requests to a host that was unreachable.
 #[test]
 fn region_without_endpoints_uses_part_of_the_free_slots() {
     let mut gateway = ready(1, Policy::default(), Vec::new());
-    summed_up(&mut gateway, 0, 90);
+    receive_summary(&mut gateway, 0, 90);
     let event = Event::Arrived(arrival(1, "wide", at(30_000)));
     let actions = run(&mut gateway, at(0), event);
-    let Some(Action::Forward { host: silent, .. }) = actions.first() else {
+    let Some(Action::Forward {
+        host: unreachable, ..
+    }) = actions.first()
+    else {
         panic!("expected a forward, got {actions:?}");
     };
     run(&mut gateway, at(0), ended(1, 0, AttemptOutcome::NotSent));
 
     let first = count_forwards(&mut gateway, 1);
-    summed_up(&mut gateway, 500, 94);
+    receive_summary(&mut gateway, 500, 94);
     let second = count_forwards(&mut gateway, 501);
 
     assert_eq!((first, second), (5, 3));
@@ -317,7 +322,7 @@
         let end = ended(number, 0, complete());
         run(&mut gateway, at(600), end);
     }
-    summed_up(&mut gateway, 1_000, 0);
+    receive_summary(&mut gateway, 1_000, 0);
     let mut hosts = Vec::new();
     for number in 2..=20 {
         let event = Event::Arrived(arrival(number, "wide", at(30_000)));
@@ -328,23 +333,23 @@
         }));
     }
     assert_eq!(hosts.len(), 19);
-    assert!(!hosts.contains(silent));
+    assert!(!hosts.contains(unreachable));
 }
 
-/// Guards against a region that was not heard for a while getting all that home
-/// would rather not do.
+/// Guards against a region whose summaries were missing for a while getting all
+/// requests of an overloaded local region at once.
 #[test]
-fn region_heard_again_is_ramped_up() {
+fn region_with_new_summaries_is_ramped_up() {
     let sent_after = |gap_ms| {
         let policy = Policy {
             away_cap_permille: 1_000,
             ..Policy::default()
         };
         let mut gateway = ready(1, policy, vec![endpoint("e1", 64)]);
-        summed_up(&mut gateway, 0, 60);
+        receive_summary(&mut gateway, 0, 60);
         let full = Event::Report(report("e1", at(gap_ms), 64));
         run(&mut gateway, at(gap_ms), full);
-        summed_up(&mut gateway, gap_ms, 60);
+        receive_summary(&mut gateway, gap_ms, 60);
         count_forwards(&mut gateway, gap_ms)
     };
 
@@ -352,10 +357,10 @@
     assert_eq!(sent_after(4_000), 2);
 }
 
-/// Guards against background work in the queue keeping out urgent work, and
-/// against callers with a tier that their intent does not allow.
+/// Guards against queued requests of a lower tier keeping out a higher tier, and
+/// against callers using a tier that their intent does not allow.
 #[test]
-fn urgent_work_is_admitted_ahead_of_background_work() {
+fn higher_tier_is_admitted_ahead_of_lower_tier() {
     let ask = |number, caller, tier| {
         let mut arrival = arrival(number, caller, at(12_000));
         arrival.tier = tier;
@@ -374,16 +379,16 @@
     assert!(!is_admitted("wide", Tier::Priority));
 }
 
-/// Guards against large bodies crossing a link that they would fill.
+/// Guards against forwarding large bodies that would saturate the link.
 #[test]
-fn large_body_stays_home() {
+fn large_body_is_not_forwarded() {
     let forwarded = |body| {
         let policy = Policy {
             away_cap_permille: 1_000,
             ..Policy::default()
         };
         let mut gateway = ready(1, policy, vec![endpoint("e1", 1)]);
-        summed_up(&mut gateway, 0, 0);
+        receive_summary(&mut gateway, 0, 0);
         send(&mut gateway, 0, 1, &[]);
         let mut last = arrival(2, "wide", at(30_000));
         last.body = body;
@@ -398,9 +403,10 @@
     assert!(!forwarded(Bytes(4_000_000_000)));
 }
 
-/// Guards against a region that returns with cold caches getting all at once.
+/// Guards against a region that recovers with cold caches getting its full share of
+/// requests at once.
 #[test]
-fn returning_region_is_ramped_up() {
+fn recovering_region_is_ramped_up() {
     let policy = Policy::default();
     let region: RegionId = id("zapad");
     let target: Target = id("model/stain");
@@ -419,11 +425,11 @@
     ramps.observe(at(70_000), &region, &slots(40), None);
     ramps.observe(at(70_000), &region, &slots(100), None);
     let factor = ramps.usable_fraction(at(70_000), &region, &target, &policy);
-    assert_eq!(factor, 0.4, "the slots that stayed are warm");
+    assert_eq!(factor, 0.4, "the remaining slots are warm");
 }
 
-/// Guards against forwards to hosts that are silent, leaving, or in a region
-/// other than the summary says.
+/// Guards against forwarding to hosts that stopped sending heartbeats, are leaving,
+/// or are in a region other than that of the summary.
 #[test]
 fn forward_hosts_are_live_and_in_their_region() {
     let policy = Policy::default();
@@ -441,7 +447,11 @@
     moved.region = id("zapad");
     view.apply_heartbeat(at(0), moved);
     assert_eq!(names(&view, 1_999), ["zapad-1", "zapad-2"]);
-    assert_eq!(names(&view, 2_000), ["zapad-2"], "zapad-1 is silent");
+    assert_eq!(
+        names(&view, 2_000),
+        ["zapad-2"],
+        "zapad-1 sent no recent heartbeat"
+    );
     let leaving = |is_leaving| HostInfo {
         id: id("zapad-2"),
         region: id("zapad"),
@@ -456,10 +466,13 @@
     assert!(names(&view, 2_000).is_empty(), "zapad-2 is avoided");
     assert!(names(&view, 3_000).is_empty(), "the summary is too old");
     view.refresh(at(10_000), &policy);
-    assert!(view.hosts.is_empty(), "zapad-1 was not forgotten");
+    assert!(
+        view.hosts.is_empty(),
+        "the state of zapad-1 was not removed"
+    );
 }
 
-/// Guards against late messages taking a host or region back to an old state.
+/// Guards against late messages resetting a host or region to an old state.
 #[test]
 fn revisions_and_runs_never_go_back() {
     let mut view = View::new();
@@ -504,8 +517,9 @@
     list.hosts.into_iter().map(|host| host.host).collect()
 }
 
-/// Guards against a host that goes moving the callers of others, against hosts
-/// of forbidden regions, and against overloaded hosts being tried first.
+/// Guards against the removal of a host changing the order of the others for a
+/// caller, against hosts of forbidden regions, and against overloaded hosts being
+/// tried first.
 #[test]
 fn entry_hosts_are_stable_and_ordered() {
     let mut hosts: Vec<EntryHost> = (1..=8)
@@ -518,13 +532,13 @@
         let caller = format!("caller-{number}");
         let all = entry_names(&caller, &hosts);
         let mut expected = all.clone();
-        let gone = expected.remove(3);
-        let left: Vec<_> = hosts
+        let removed = expected.remove(3);
+        let remaining: Vec<_> = hosts
             .iter()
-            .filter(|host| host.host != gone)
+            .filter(|host| host.host != removed)
             .cloned()
             .collect();
-        assert_eq!(entry_names(&caller, &left), expected);
+        assert_eq!(entry_names(&caller, &remaining), expected);
         assert_eq!(all.len(), 9);
         assert_eq!(all[8], id("z1"));
 
@@ -535,7 +549,8 @@
     }
 }
 
-/// Guards against callers moving to and fro around one load.
+/// Guards against callers switching back and forth while a host's load is close to
+/// the limit.
 #[test]
 fn overload_has_hysteresis() {
     let policy = Policy::default();
@@ -554,7 +569,8 @@
     assert_eq!(is_overloaded, [false, true, true, false]);
 }
 
-/// Guards against predictions that ignore cache, batch or queue.
+/// Guards against predictions that ignore the prompt to prefill, the batch size or
+/// the queue.
 #[test]
 fn prediction_grows_with_work_and_load() {
     let policy = Policy::default();
@@ -578,7 +594,7 @@
     assert!((at_load(&predictor, 0, 0.0).decode_ms - 50.0 * 10.25).abs() < 1.0);
 }
 
-/// Guards against baselines that do not do what their names say.
+/// Guards against baseline routing that differs from its description.
 #[test]
 fn baselines_route_as_named() {
     let tally = |routing, busy| {
@@ -589,7 +605,7 @@
         let mut gateway = ready(1, policy, endpoints(2, 50));
         run(&mut gateway, START, Event::Report(report("e1", START, 40)));
         run(&mut gateway, START, Event::Report(report("e2", START, 30)));
-        summed_up(&mut gateway, 0, busy);
+        receive_summary(&mut gateway, 0, busy);
         let mut tally: BTreeMap<String, usize> = BTreeMap::new();
         for number in 1..=100 {
             let event = Event::Arrived(arrival(number, "wide", at(30_000)));
--- a/tests/decision_fixture/mod.rs
+++ b/tests/decision_fixture/mod.rs
@@ -1,6 +1,6 @@
-//! Small networks of regions, endpoints and callers for the decision tests.
+//! Hosts, endpoints, callers and events for the decision tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test binary uses only some items")]
 
 use std::{
     fmt::Write,
@@ -52,7 +52,7 @@
     }, //
 };
 
-/// Instant at which sessions start; the start of a budget period.
+/// Time at which sessions start, which is the start of a budget period.
 pub const START: Millis = Millis(1_000_000_000);
 
 /// Budget of the test callers.
@@ -67,7 +67,7 @@
     text.parse().expect("valid identifier")
 }
 
-/// `START` plus some milliseconds.
+/// Returns `START` plus `ms` milliseconds.
 pub fn at(ms: u64) -> Millis {
     START + Millis(ms)
 }
@@ -91,8 +91,8 @@
     }
 }
 
-/// Caller `wide` may use three regions, `bound` only stred, `away` not stred;
-/// only `bound` may ask for the tier `priority`.
+/// A configuration with three callers: `wide` may use three regions, `bound` only
+/// stred and `away` only zapad. Only `bound` may use the tier `priority`.
 pub fn intents() -> Arc<Intents> {
     let model = ModelIntent {
         version: "v2".into(),
@@ -147,7 +147,7 @@
     }
 }
 
-/// The list with these endpoints.
+/// An event with the platform's list of these endpoints.
 pub fn listed(endpoints: Vec<EndpointInfo>) -> Event {
     Event::Listed {
         endpoints,
@@ -224,7 +224,7 @@
     }
 }
 
-/// The same request, forwarded here by a host of zapad.
+/// The same request as forwarded by a host of zapad.
 pub fn forwarded(arrival: Arrival, allowed: &[&str]) -> Arrival {
     let json = serde_json::to_string(allowed).expect("list of regions");
     let allowed: AllowedRegions = serde_json::from_str(&json).expect("allowed regions");
@@ -264,7 +264,7 @@
     }
 }
 
-/// A host with configuration and ample grants that has the given endpoints.
+/// A host with a configuration, ample grants and the given endpoints.
 pub fn ready(seed: u64, policy: Policy, endpoints: Vec<EndpointInfo>) -> Gateway {
     let mut gateway = gateway(seed, policy);
     let events = [
@@ -279,7 +279,7 @@
     gateway
 }
 
-/// Handles one event and returns the actions.
+/// Passes one event to a host and returns the actions.
 pub fn run(gateway: &mut Gateway, now_ms: Millis, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     gateway.handle(now_ms, event, &mut actions);
@@ -295,13 +295,13 @@
 }
 
 impl Session {
-    /// A session of a host.
+    /// Starts a session of a host.
     pub fn new(gateway: Gateway) -> Self {
         let text = String::new();
         Self { gateway, text }
     }
 
-    /// Handles an event, described by `label`, `ms` after the start.
+    /// Passes an event, described by `label`, to the host `ms` after the start.
     pub fn step(&mut self, ms: u64, label: &str, event: Event) -> Vec<Action> {
         let actions = run(&mut self.gateway, at(ms), event);
         writeln!(self.text, "{ms} {label}").expect("write to text");
@@ -311,7 +311,7 @@
         actions
     }
 
-    /// Ticks every 50 ms in a time span and records only those with actions.
+    /// Ticks every 50 ms in a time span and records only ticks with actions.
     pub fn ticks(&mut self, from_ms: u64, to_ms: u64) -> Vec<Action> {
         let mut all = Vec::new();
         for ms in (from_ms..=to_ms).step_by(50) {
@@ -326,7 +326,7 @@
     }
 }
 
-/// One action as a line.
+/// Describes an action in one line.
 pub fn describe(action: &Action) -> String {
     match action {
         Action::Send {
--- a/tests/decision_golden.rs
+++ b/tests/decision_golden.rs
@@ -1,6 +1,6 @@
-//! Whole sessions of one host, replayed from their events.
+//! Complete event sequences of one host, compared with recorded actions.
 //!
-//! Run with `UPDATE_EXPECT=1` to write the files anew, and read the difference.
+//! Run with `UPDATE_EXPECT=1` to rewrite the files, and review the difference.
 
 mod decision_fixture;
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Guards against a start in which requests are refused or lost before the
-/// configuration, the list and the first grant are there.
+/// Guards against requests being lost or wrongly refused at startup, before the
+/// configuration, the endpoint list and the first grant have arrived.
 #[test]
 fn start_of_a_host() {
     let mut session = Session::new(gateway(1, Policy::default()));
@@ -65,8 +65,8 @@
     assert_eq!(session.gateway.open_requests(), 0);
 }
 
-/// Guards against full endpoints getting more than they run, against a lower
-/// tier overtaking a higher one, and against work kept until it is too late.
+/// Guards against more requests at an endpoint than it has slots, against a lower
+/// tier overtaking a higher one, and against requests queued past their deadline.
 #[test]
 fn queue_by_tier() {
     let mut session = Session::new(ready(1, Policy::default(), vec![endpoint("e1", 1)]));
@@ -82,8 +82,8 @@
     session.step(30, "arrive 4 priority", ask(4, Tier::Priority, 30_000));
     session.step(40, "arrive 5 due in 4 s", ask(5, Tier::Default, 4_040));
     session.step(50, "arrive 6 priority", ask(6, Tier::Priority, 30_000));
-    let gone = AttemptOutcome::CallerDisconnected { wasted: Tokens(0) };
-    session.step(60, "caller of 6 gone", ended(6, 0, gone));
+    let disconnected = AttemptOutcome::CallerDisconnected { wasted: Tokens(0) };
+    session.step(60, "caller of 6 gone", ended(6, 0, disconnected));
     session.step(2_000, "complete 1", ended(1, 0, complete()));
     session.step(4_000, "complete 4", ended(4, 0, complete()));
     session.ticks(4_050, 30_000);
@@ -97,8 +97,9 @@
     assert_eq!(session.gateway.open_requests(), 0);
 }
 
-/// Guards against new work for a leaving endpoint, whoever says that it leaves
-/// and in whatever order the list is seen, and against it never coming back.
+/// Guards against new requests to a leaving endpoint, whether the list, a report or
+/// a refusal shows that it is leaving and even if lists arrive out of order, and
+/// against an endpoint that stays marked after it has restarted.
 #[test]
 fn endpoint_leaves_and_returns() {
     let both = || vec![endpoint("e1", 8), endpoint("e2", 8)];
@@ -133,11 +134,11 @@
     session.step(490, "complete 3", ended(3, 0, complete()));
 
     check(&session, expect_file!["golden/drain.txt"]);
-    assert_eq!(in_flight, 1, "the list made it forget request 3");
+    assert_eq!(in_flight, 1, "the list removed request 3 from the state");
 }
 
-/// Guards against work sent away while home is as good, and against a region
-/// that is full, silent or has failed a request getting it.
+/// Guards against forwarding while the local region is as fast, and against
+/// forwarding to a region that is full, has an outdated summary or was unreachable.
 #[test]
 fn other_regions() {
     let mut session = Session::new(ready(1, Policy::default(), vec![endpoint("e1", 1)]));
@@ -176,8 +177,8 @@
     check(&session, expect_file!["golden/regions.txt"]);
 }
 
-/// Guards against retries of what may have run, to the endpoint that failed, or
-/// without a bound.
+/// Guards against retries of requests that may have run, retries at the endpoint
+/// that failed, and unbounded retries.
 #[test]
 fn retries() {
     let endpoints = vec![endpoint("e1", 8), endpoint("e2", 8)];
@@ -188,7 +189,7 @@
         arrival.is_repeatable = false;
         Event::Arrived(arrival)
     };
-    let broken = || AttemptOutcome::Interrupted {
+    let interrupted = || AttemptOutcome::Interrupted {
         delivered: Tokens(7),
     };
 
@@ -199,9 +200,9 @@
     session.ticks(150, 300);
     session.step(310, "1 not sent", ended(1, 2, AttemptOutcome::NotSent));
     session.step(320, "arrive 2, not repeatable", once(2));
-    session.step(330, "2 interrupted", ended(2, 0, broken()));
+    session.step(330, "2 interrupted", ended(2, 0, interrupted()));
     session.step(340, "arrive 3", ask(3));
-    session.step(350, "3 interrupted", ended(3, 0, broken()));
+    session.step(350, "3 interrupted", ended(3, 0, interrupted()));
     session.ticks(400, 500);
     session.step(
         510,
@@ -216,8 +217,8 @@
     assert_eq!(session.gateway.open_requests(), 0);
 }
 
-/// Guards against spending beyond grants and allowance, and against refusing
-/// while money is left.
+/// Guards against spending beyond grants and outage allowance, and against refusals
+/// while an amount is available.
 #[test]
 fn spending() {
     let mut gateway = gateway(1, Policy::default());
--- a/tests/decision_properties.rs
+++ b/tests/decision_properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for any events in any order.
+//! Properties of the decisions that hold for any sequence of events.
 
 mod decision_fixture;
 
@@ -36,13 +36,13 @@
 use decision_fixture::*;
 use proptest::prelude::*;
 
-/// Longest time between two ticks.
+/// Time between two ticks.
 const TICK_MS: u64 = 100;
 
-/// Deadlines of the generated requests end by then after the last event.
+/// Upper bound of the time from the arrival of a generated request to its deadline.
 const LONGEST_MS: u64 = 20_000;
 
-/// One generated event, turned into a real one against the running session.
+/// A generated step, which the state of the session turns into an event.
 #[derive(Debug, Clone)]
 enum Step {
     Arrive {
@@ -142,7 +142,7 @@
     ]
 }
 
-/// A session with an independent account of what it may and must do.
+/// A session that checks each action against its own, independent state.
 struct Checked {
     gateway: Gateway,
     now_ms: Millis,
@@ -232,7 +232,7 @@
                 assert!(allowed.iter().all(|region| may_see.contains(region)));
                 assert!(
                     host.as_str().starts_with(region.as_str()),
-                    "host of elsewhere"
+                    "host of another region"
                 );
                 self.check_start(*request, *attempt);
             }
@@ -385,7 +385,7 @@
                 ..
             }
         );
-        if is_leaving && !self.is_written_off(request) {
+        if is_leaving && !self.is_abandoned(request) {
             let last = self.last_endpoint(request);
             self.leaving.extend(last);
         }
@@ -409,8 +409,9 @@
         }
     }
 
-    /// Whether its attempt should have ended long ago; what it says is unheard.
-    fn is_written_off(&self, request: RequestId) -> bool {
+    /// Whether a cancelled attempt was given up because it did not end in time. Its
+    /// outcome is then ignored.
+    fn is_abandoned(&self, request: RequestId) -> bool {
         let wait_ms = Policy::default().cancel_wait_ms;
         let cancelled_ms = self.cancelled_ms.get(&request);
         cancelled_ms.is_some_and(|at_ms| *at_ms + wait_ms <= self.now_ms)
@@ -456,7 +457,8 @@
         self.feed(Event::Report(report));
     }
 
-    /// Leaving ends only with a newer report of a run not heard before.
+    /// Records a report. A leaving endpoint stops leaving only with a newer report of
+    /// a run that has not reported before.
     fn note_report(&mut self, name: &EndpointId, at_ms: Millis, run: Incarnation, leaves: bool) {
         let known = self.reports.get(name).cloned();
         let is_newer = known
@@ -528,7 +530,8 @@
         }
     }
 
-    /// Nothing waits beyond its deadline, and nothing is forgotten.
+    /// Checks that every request is answered, or has a running attempt, once its
+    /// deadline has passed.
     fn check_waiting(&self) {
         for (request, arrival) in &self.arrivals {
             let is_done = self.answered.contains(request) || self.ended.contains(request);
@@ -564,11 +567,12 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Guards against every promise that `Checked` looks at: residency, one
-    /// forward at most, endpoint drain, spending, one final answer in time, and
-    /// against money or accounting left behind by requests that have ended.
+    /// Guards against violations of what `Checked` verifies: residency, at most one
+    /// forward, endpoint drain, spending limits, and one final answer in time. Also
+    /// guards against reservations or requests in flight that remain after all
+    /// requests have ended.
     #[test]
-    fn promises_hold_for_any_events(
+    fn guarantees_hold_for_any_events(
         seed in any::<u64>(),
         routing in routing(),
         steps in steps(),
@@ -587,7 +591,7 @@
         }
     }
 
-    /// Guards against decisions that depend on anything but seed and events.
+    /// Guards against decisions that depend on anything other than seed and events.
     #[test]
     fn same_seed_and_events_give_the_same_actions(
         seed in any::<u64>(),
@@ -600,7 +604,7 @@
         prop_assert_eq!(first.log, second.log);
     }
 
-    /// Guards against retries multiplying the load of a failing region.
+    /// Guards against retries that multiply the load of a failing region.
     #[test]
     fn retries_stay_within_their_share(
         requests in 1..400u128,
