--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -691,10 +691,10 @@
         caller: id(&caller_name(number % accounts)),
         target: Target::Model(id(&model_name(number))),
         tier: Tier::Default,
-        prompt: Tokens(512),
-        max_output: Tokens(344),
+        prompt_tokens: Tokens(512),
+        max_output_tokens: Tokens(344),
         prefix_hashes: vec![number as u64 % 64, number as u64],
-        body: Bytes(4_096),
+        body_bytes: Bytes(4_096),
         deadline_ms: now_ms + Millis(60_000),
         is_repeatable: true,
         needs_continuation: false,
@@ -716,8 +716,8 @@
                 settled.sent += 1;
                 gateway.handle(now_ms, Event::FirstToken { request, attempt }, actions);
                 let outcome = AttemptOutcome::Complete {
-                    output: Tokens(344),
-                    cached: Tokens(0),
+                    output_tokens: Tokens(344),
+                    cached_tokens: Tokens(0),
                 };
                 let ended = Event::Ended {
                     request,
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -87,8 +87,8 @@
         self.note_outcome(now_ms, &mut open, outcome);
         self.charge(now_ms, &mut open, outcome);
         let is_answered = open.answered_ms.is_some();
-        if let AttemptOutcome::Interrupted { delivered } = outcome {
-            open.arrival.needs_continuation |= *delivered > Tokens(0);
+        if let AttemptOutcome::Interrupted { delivered_tokens } = outcome {
+            open.arrival.needs_continuation |= *delivered_tokens > Tokens(0);
         }
         if !is_answered && may_repeat(outcome, open.arrival.is_repeatable) {
             self.retry(now_ms, request, open, outcome, actions);
@@ -122,11 +122,11 @@
     }
 
     fn learn(&mut self, now_ms: Millis, open: &OpenRequest, outcome: &AttemptOutcome) {
-        let AttemptOutcome::Complete { output, .. } = outcome else {
+        let AttemptOutcome::Complete { output_tokens, .. } = outcome else {
             return;
         };
         if let Phase::Forwarded { .. } = open.phase {
-            let bytes = u64::from(self.inputs.policy.answer_bytes_per_token) * output.0;
+            let bytes = u64::from(self.inputs.policy.answer_bytes_per_token) * output_tokens.0;
             self.waste.inter_region_bytes = self.waste.inter_region_bytes + Bytes(bytes);
             return;
         }
@@ -134,7 +134,7 @@
         let run_ms = now_ms - open.sent_ms;
         inputs
             .predictor
-            .learn(&inputs.policy, &open.arrival.target, *output, run_ms);
+            .learn(&inputs.policy, &open.arrival.target, *output_tokens, run_ms);
     }
 
     fn note_outcome(&mut self, now_ms: Millis, open: &mut OpenRequest, outcome: &AttemptOutcome) {
@@ -167,8 +167,8 @@
     }
 
     fn charge(&mut self, now_ms: Millis, open: &mut OpenRequest, outcome: &AttemptOutcome) {
-        if let AttemptOutcome::CallerDisconnected { wasted } = outcome {
-            self.waste.cancelled = self.waste.cancelled + *wasted;
+        if let AttemptOutcome::CallerDisconnected { wasted_tokens } = outcome {
+            self.waste.cancelled_tokens = self.waste.cancelled_tokens + *wasted_tokens;
         }
         let cost = open.cost(outcome);
         if let Some(reservation) = open.reservation.as_mut() {
@@ -185,7 +185,7 @@
         };
         self.clear_in_flight(now_ms, request, &open);
         let most = AttemptOutcome::CallerDisconnected {
-            wasted: open.arrival.max_output,
+            wasted_tokens: open.arrival.max_output_tokens,
         };
         self.charge(now_ms, &mut open, &most);
         self.close(request, open);
--- a/src/decision/budget.rs
+++ b/src/decision/budget.rs
@@ -117,7 +117,7 @@
     pub retries: u64,
     /// Tokens generated for callers that had disconnected, including the most that
     /// a cancelled attempt that did not end in time can have generated.
-    pub cancelled: Tokens,
+    pub cancelled_tokens: Tokens,
     /// Bytes sent to and received from other regions.
     pub inter_region_bytes: Bytes,
 }
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -271,7 +271,7 @@
         let query = open.region_query(now_ms);
         self.region_chooser
             .note_sent(&context, &region, request, &query);
-        self.waste.inter_region_bytes = self.waste.inter_region_bytes + open.arrival.body;
+        self.waste.inter_region_bytes = self.waste.inter_region_bytes + open.arrival.body_bytes;
         actions.push(Action::Forward {
             request,
             attempt: open.attempt,
--- a/src/decision/endpoint_choice.rs
+++ b/src/decision/endpoint_choice.rs
@@ -146,7 +146,7 @@
     let cached_blocks = state.prefixes.known_blocks(query.prefix_hashes);
     let cached = Tokens(policy.prefix_block.0.saturating_mul(cached_blocks as u64));
     let work = Work {
-        prompt: query.work.prompt - cached,
+        prompt_tokens: query.work.prompt_tokens - cached,
         ..query.work
     };
     Candidate {
--- a/src/decision/endpoint_state.rs
+++ b/src/decision/endpoint_state.rs
@@ -133,19 +133,20 @@
             .report
             .as_ref()
             .map(|known| (known.incarnation, known.measured_ms));
-        let is_same_run = known.is_none_or(|(run, _)| run == report.incarnation);
+        let is_same_instance =
+            known.is_none_or(|(incarnation, _)| incarnation == report.incarnation);
         let is_newer = known.is_none_or(|(_, at_ms)| at_ms < report.measured_ms);
         if is_newer {
-            self.apply_newer(report, is_same_run);
-        } else if is_same_run && report.is_leaving {
+            self.apply_newer(report, is_same_instance);
+        } else if is_same_instance && report.is_leaving {
             // Leaving is final for a run, even if its report arrives late.
             self.mark_leaving();
         }
     }
 
-    fn apply_newer(&mut self, report: EndpointReport, is_same_run: bool) {
-        if !is_same_run {
-            self.begin_run();
+    fn apply_newer(&mut self, report: EndpointReport, is_same_instance: bool) {
+        if !is_same_instance {
+            self.begin_instance();
         }
         if let Some(mark) = self.leaving.as_mut() {
             mark.incarnation.get_or_insert(report.incarnation);
@@ -159,7 +160,7 @@
         }
     }
 
-    fn begin_run(&mut self) {
+    fn begin_instance(&mut self) {
         self.leaving = None;
         self.note_success();
         self.prefixes.clear();
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -67,13 +67,13 @@
     /// Scheduling class.
     pub tier: Tier,
     /// Estimated prompt length.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Maximum number of generated tokens.
-    pub max_output: Tokens,
+    pub max_output_tokens: Tokens,
     /// Hashes of the prompt's leading blocks; each covers all preceding blocks.
     pub prefix_hashes: Vec<u64>,
     /// Length of the request body.
-    pub body: Bytes,
+    pub body_bytes: Bytes,
     /// Time by which the complete answer is due.
     pub deadline_ms: Millis,
     /// Whether it is safe to run the call more than once.
@@ -91,9 +91,9 @@
     /// The complete answer was passed on.
     Complete {
         /// Generated tokens.
-        output: Tokens,
+        output_tokens: Tokens,
         /// Prompt tokens that the endpoint had cached.
-        cached: Tokens,
+        cached_tokens: Tokens,
     },
     /// No byte of the request was sent.
     NotSent,
@@ -107,12 +107,12 @@
     /// The exchange failed after the request was sent.
     Interrupted {
         /// Tokens that the caller has already received.
-        delivered: Tokens,
+        delivered_tokens: Tokens,
     },
     /// The exchange failed after part of an answer that cannot be continued.
     Truncated {
         /// Tokens that the caller has already received.
-        delivered: Tokens,
+        delivered_tokens: Tokens,
     },
     /// The endpoint answered with an error, which was passed on.
     Failed {
@@ -122,7 +122,7 @@
     /// The caller disconnected.
     CallerDisconnected {
         /// Tokens generated before the attempt was cancelled.
-        wasted: Tokens,
+        wasted_tokens: Tokens,
     },
 }
 
--- a/src/decision/predict.rs
+++ b/src/decision/predict.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Work {
     /// Prompt tokens to prefill.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Maximum number of generated tokens.
-    pub max_output: Tokens,
+    pub max_output_tokens: Tokens,
 }
 
 /// Predicted parts of one run, in milliseconds.
@@ -101,8 +101,8 @@
             },
             Target::Model(_) => Prediction {
                 wait_ms,
-                prefill_ms: prefill_ms(policy, work.prompt),
-                decode_ms: self.expected_output(policy, target, work.max_output)
+                prefill_ms: prefill_ms(policy, work.prompt_tokens),
+                decode_ms: self.expected_output(policy, target, work.max_output_tokens)
                     * token_ms(policy, (load + 1.0).min(slots)),
             },
         }
@@ -116,9 +116,9 @@
         beyond / slots.max(1.0) * self.typical_run_ms(policy, target)
     }
 
-    fn expected_output(&self, policy: &Policy, target: &Target, max_output: Tokens) -> f64 {
+    fn expected_output(&self, policy: &Policy, target: &Target, max_output_tokens: Tokens) -> f64 {
         let expected = self.averages(policy, target).output;
-        expected.min(max_output.0 as f64)
+        expected.min(max_output_tokens.0 as f64)
     }
 
     fn averages(&self, policy: &Policy, target: &Target) -> Averages {
--- a/src/decision/region_choice.rs
+++ b/src/decision/region_choice.rs
@@ -52,7 +52,7 @@
     /// Size of the request; a remote region is assumed to have nothing of it cached.
     pub work: Work,
     /// Length of the request body.
-    pub body: Bytes,
+    pub body_bytes: Bytes,
     /// Regions that may see the request.
     pub allowed: &'a AllowedRegions,
     /// Time left until its deadline.
@@ -156,7 +156,7 @@
                 context.now_ms,
                 query.target,
                 request,
-                query.body,
+                query.body_bytes,
                 context.host_count(),
                 context.policy,
             );
@@ -314,7 +314,7 @@
 fn network_ms(context: &Context<'_>, link: &LinkState, query: &RegionQuery<'_>) -> f64 {
     let latency_ms = link.link.latency_ms.0 as f64 * 2.0;
     let hosts = context.host_count();
-    latency_ms + link.send_ms(context.now_ms, query.body, hosts, context.policy)
+    latency_ms + link.send_ms(context.now_ms, query.body_bytes, hosts, context.policy)
 }
 
 /// Returns the predicted time at a remote region, in milliseconds, assuming that
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -122,29 +122,34 @@
     /// Size of the request, without any cached prefix.
     pub fn work(&self) -> Work {
         Work {
-            prompt: self.arrival.prompt,
-            max_output: self.arrival.max_output,
+            prompt_tokens: self.arrival.prompt_tokens,
+            max_output_tokens: self.arrival.max_output_tokens,
         }
     }
 
     /// The maximum cost of one attempt.
     pub fn max_cost(&self) -> CostMicros {
         let arrival = &self.arrival;
-        self.price.cost(arrival.prompt, arrival.max_output)
+        self.price
+            .cost(arrival.prompt_tokens, arrival.max_output_tokens)
     }
 
     /// The cost of an attempt with this outcome.
     pub fn cost(&self, outcome: &AttemptOutcome) -> CostMicros {
-        let prompt = self.arrival.prompt;
+        let prompt = self.arrival.prompt_tokens;
         match outcome {
-            AttemptOutcome::Complete { output, cached } => {
-                self.price.cost(prompt - *cached, *output)
-            }
+            AttemptOutcome::Complete {
+                output_tokens,
+                cached_tokens,
+            } => self.price.cost(prompt - *cached_tokens, *output_tokens),
             AttemptOutcome::NotSent | AttemptOutcome::Rejected { .. } => CostMicros(0),
-            AttemptOutcome::Interrupted { delivered } | AttemptOutcome::Truncated { delivered } => {
-                self.price.cost(prompt, *delivered)
+            AttemptOutcome::Interrupted { delivered_tokens }
+            | AttemptOutcome::Truncated { delivered_tokens } => {
+                self.price.cost(prompt, *delivered_tokens)
+            }
+            AttemptOutcome::CallerDisconnected { wasted_tokens } => {
+                self.price.cost(prompt, *wasted_tokens)
             }
-            AttemptOutcome::CallerDisconnected { wasted } => self.price.cost(prompt, *wasted),
             AttemptOutcome::Failed { status } => self.failure_cost(*status),
         }
     }
@@ -154,7 +159,7 @@
         if is_model && status < SERVER_ERROR {
             return CostMicros(0);
         }
-        self.price.cost(self.arrival.prompt, Tokens(0))
+        self.price.cost(self.arrival.prompt_tokens, Tokens(0))
     }
 
     /// Returns the properties that determine its endpoint.
@@ -192,7 +197,7 @@
         RegionQuery {
             target: &self.arrival.target,
             work: self.work(),
-            body: self.arrival.body,
+            body_bytes: self.arrival.body_bytes,
             allowed: &self.allowed,
             remaining_ms: self.remaining_ms(now_ms),
         }
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -100,7 +100,7 @@
     pub open_requests: u32,
     /// Host runs whose tickets it is responsible for, including its own run until
     /// it has handed its tickets over.
-    pub ticket_runs: Vec<HostRun>,
+    pub ticket_owners: Vec<HostRun>,
 }
 
 /// An endpoint's report of its load.
@@ -170,7 +170,7 @@
     /// When the newest heartbeat arrived here.
     pub received_ms: Millis,
     /// When the first heartbeat of its current run arrived here.
-    pub run_since_ms: Millis,
+    pub instance_since_ms: Millis,
     /// Whether a heartbeat of its current run, or the platform's list, has marked it
     /// as leaving.
     pub is_leaving: bool,
@@ -185,7 +185,7 @@
             is_leaving: heartbeat.is_leaving,
             heartbeat,
             received_ms: now_ms,
-            run_since_ms: now_ms,
+            instance_since_ms: now_ms,
             is_overloaded: false,
             past_incarnations: Vec::new(),
         }
@@ -202,18 +202,18 @@
     }
 
     fn apply(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
-        let is_same_run = self.heartbeat.incarnation == heartbeat.incarnation;
-        if is_same_run && heartbeat.sequence <= self.heartbeat.sequence
+        let is_same_instance = self.heartbeat.incarnation == heartbeat.incarnation;
+        if is_same_instance && heartbeat.sequence <= self.heartbeat.sequence
             || self.past_incarnations.contains(&heartbeat.incarnation)
         {
             return;
         }
-        if is_same_run {
+        if is_same_instance {
             heartbeat.revision = heartbeat.revision.max(self.heartbeat.revision);
             self.is_leaving |= heartbeat.is_leaving;
         } else {
             self.is_leaving = heartbeat.is_leaving;
-            self.run_since_ms = now_ms;
+            self.instance_since_ms = now_ms;
             self.past_incarnations.push(self.heartbeat.incarnation);
         }
         if self.past_incarnations.len() > PAST_INCARNATIONS {
@@ -429,16 +429,16 @@
 
     /// Returns the run that is responsible for the tickets of `run`: `run` itself,
     /// or the run of another host that has announced that it took them over.
-    pub fn ticket_holder(&self, run: &HostRun) -> HostRun {
+    pub fn ticket_holder(&self, owner: &HostRun) -> HostRun {
         let is_successor = |state: &&HostState| {
-            state.heartbeat.host != run.host && state.heartbeat.ticket_runs.contains(run)
+            state.heartbeat.host != owner.host && state.heartbeat.ticket_owners.contains(owner)
         };
         match self.hosts.values().find(is_successor) {
             Some(state) => HostRun {
                 host: state.heartbeat.host.clone(),
                 incarnation: state.heartbeat.incarnation,
             },
-            None => run.clone(),
+            None => owner.clone(),
         }
     }
 
--- a/src/experiment/fleet.rs
+++ b/src/experiment/fleet.rs
@@ -391,7 +391,7 @@
             is_ready: true,
             revision: Revision(1),
             open_requests,
-            ticket_runs: Vec::new(),
+            ticket_owners: Vec::new(),
         }
     }
 
--- a/src/experiment/world.rs
+++ b/src/experiment/world.rs
@@ -439,10 +439,10 @@
             caller: Fleet::caller_id(job.caller),
             target: Fleet::target(job.is_order),
             tier: job.tier,
-            prompt: job.prompt,
-            max_output: job.max_output,
+            prompt_tokens: job.prompt,
+            max_output_tokens: job.max_output,
             prefix_hashes: job.prefix_hashes.clone(),
-            body: job.body,
+            body_bytes: job.body,
             deadline_ms: EPOCH + Millis((sent + job.patience).as_millis() as u64),
             is_repeatable: !job.is_order,
             needs_continuation: false,
@@ -614,8 +614,8 @@
         if token.is_last {
             self.fleet.engines[endpoint].runs.remove(&token.work);
             let outcome = AttemptOutcome::Complete {
-                output: Tokens(token.index + 1),
-                cached: token.cached,
+                output_tokens: Tokens(token.index + 1),
+                cached_tokens: token.cached,
             };
             self.after(near, Happening::Ended((host, request, attempt), outcome));
         }
@@ -696,7 +696,7 @@
         };
         let outcome = if leg.has_run {
             AttemptOutcome::Interrupted {
-                delivered: Tokens(self.progress[index].delivered),
+                delivered_tokens: Tokens(self.progress[index].delivered),
             }
         } else {
             AttemptOutcome::Rejected {
@@ -711,7 +711,7 @@
     fn cancel(&mut self, key: AttemptKey) {
         let (host, request, _) = key;
         let gone = |wasted| AttemptOutcome::CallerDisconnected {
-            wasted: Tokens(wasted),
+            wasted_tokens: Tokens(wasted),
         };
         match self.places.remove(&key) {
             Some(Place::Endpoint(endpoint, work)) => {
@@ -749,7 +749,9 @@
                 Event::Ended {
                     request,
                     attempt: Attempt(0),
-                    outcome: AttemptOutcome::CallerDisconnected { wasted: Tokens(0) },
+                    outcome: AttemptOutcome::CallerDisconnected {
+                        wasted_tokens: Tokens(0),
+                    },
                 },
             ),
         }
@@ -910,7 +912,9 @@
         progress.delivered = progress.delivered.min(job.output.0 - 1);
         let delivered = Tokens(progress.delivered);
         let near = self.customer.data_centre_latency;
-        let outcome = AttemptOutcome::Interrupted { delivered };
+        let outcome = AttemptOutcome::Interrupted {
+            delivered_tokens: delivered,
+        };
         self.after(near, Happening::Ended(run.key, outcome));
     }
 
@@ -937,7 +941,9 @@
             progress.delivered = progress.delivered.min(most);
             let delivered = Tokens(progress.delivered);
             self.places.remove(&key);
-            let outcome = AttemptOutcome::Interrupted { delivered };
+            let outcome = AttemptOutcome::Interrupted {
+                delivered_tokens: delivered,
+            };
             self.after(Duration::ZERO, Happening::Ended(key, outcome));
         }
     }
--- a/src/peer/simulation.rs
+++ b/src/peer/simulation.rs
@@ -247,7 +247,7 @@
         is_ready: true,
         revision: Revision(52_000),
         open_requests: 40,
-        ticket_runs: Vec::new(),
+        ticket_owners: Vec::new(),
     }
 }
 
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -331,14 +331,18 @@
         let delivered = self.stream.tokens;
         let can_resume = matches!(&self.payload, Payload::Chat(chat) if chat.is_resumable);
         if self.stream.is_started && !can_resume {
-            return AttemptOutcome::Truncated { delivered };
+            return AttemptOutcome::Truncated {
+                delivered_tokens: delivered,
+            };
+        }
+        AttemptOutcome::Interrupted {
+            delivered_tokens: delivered,
         }
-        AttemptOutcome::Interrupted { delivered }
     }
 
     fn caller_gone(&self) -> AttemptOutcome {
         AttemptOutcome::CallerDisconnected {
-            wasted: self.stream.tokens,
+            wasted_tokens: self.stream.tokens,
         }
     }
 }
--- a/src/relay/pass.rs
+++ b/src/relay/pass.rs
@@ -228,7 +228,10 @@
     fn complete(&mut self, output: Tokens, cached: Tokens) -> AttemptOutcome {
         self.delivered.output = output;
         self.delivered.cached = cached;
-        AttemptOutcome::Complete { output, cached }
+        AttemptOutcome::Complete {
+            output_tokens: output,
+            cached_tokens: cached,
+        }
     }
 
     fn report_first_token(&mut self, attempt: Attempt) {
--- a/src/sample.rs
+++ b/src/sample.rs
@@ -135,7 +135,7 @@
     fn sample_waste(&mut self, metrics: &Metrics, waste: Waste) {
         self.retries.count(metrics, Metric::Retries, waste.retries);
         self.wasted
-            .count(metrics, Metric::WastedTokens, waste.cancelled.0);
+            .count(metrics, Metric::WastedTokens, waste.cancelled_tokens.0);
         self.away
             .count(metrics, Metric::AwayBytes, waste.inter_region_bytes.0);
     }
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -241,7 +241,7 @@
             let state = gateway.view().hosts.get(&holder.host);
             let sighting = state.map(|state| Sighting {
                 incarnation: state.heartbeat.incarnation,
-                first_seen_ms: state.run_since_ms,
+                first_seen_ms: state.instance_since_ms,
                 last_heard_ms: state.received_ms,
                 region: state.heartbeat.region.clone(),
                 peer_address: state.heartbeat.peer_address,
--- a/tests/decision_accounts.rs
+++ b/tests/decision_accounts.rs
@@ -94,10 +94,12 @@
     let mut gateway = ready(1, Policy::default(), vec![endpoint("e1", 8)]);
     let ask = |number| Event::Arrived(arrival(number, "wide", at(30_000)));
     let cached = AttemptOutcome::Complete {
-        output: Tokens(100),
-        cached: Tokens(512),
+        output_tokens: Tokens(100),
+        cached_tokens: Tokens(512),
+    };
+    let disconnected = AttemptOutcome::CallerDisconnected {
+        wasted_tokens: Tokens(30),
     };
-    let disconnected = AttemptOutcome::CallerDisconnected { wasted: Tokens(30) };
 
     run(&mut gateway, at(0), ask(1));
     run(&mut gateway, at(10), ended(1, 0, cached));
@@ -118,7 +120,7 @@
 
     let waste = Waste {
         retries: 0,
-        cancelled: Tokens(30),
+        cancelled_tokens: Tokens(30),
         inter_region_bytes: Bytes(2_048 + 100 * 200),
     };
     assert_eq!(gateway.waste(), waste);
@@ -134,7 +136,7 @@
     // One complete attempt costs 452.
     run(&mut gateway, START, granted("wide", 500));
     let interrupted = AttemptOutcome::Interrupted {
-        delivered: Tokens(400),
+        delivered_tokens: Tokens(400),
     };
 
     let event = Event::Arrived(arrival(1, "wide", at(30_000)));
--- a/tests/decision_choices.rs
+++ b/tests/decision_choices.rs
@@ -58,7 +58,7 @@
 fn send(gateway: &mut Gateway, ms: u64, number: u128, prefix: &[u64]) -> Option<String> {
     let mut arrival = arrival(number, "wide", at(ms + 30_000));
     arrival.prefix_hashes = prefix.to_vec();
-    arrival.prompt = Tokens(256 * prefix.len() as u64);
+    arrival.prompt_tokens = Tokens(256 * prefix.len() as u64);
     let actions = run(gateway, at(ms), Event::Arrived(arrival));
     actions.iter().find_map(|action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.to_string()),
@@ -391,7 +391,7 @@
         receive_summary(&mut gateway, 0, 0);
         send(&mut gateway, 0, 1, &[]);
         let mut last = arrival(2, "wide", at(30_000));
-        last.body = body;
+        last.body_bytes = body;
         let actions = run(&mut gateway, at(1), Event::Arrived(last));
         actions
             .iter()
@@ -576,8 +576,8 @@
     let policy = Policy::default();
     let target: Target = id("model/stain");
     let work = |prompt| Work {
-        prompt: Tokens(prompt),
-        max_output: Tokens(100),
+        prompt_tokens: Tokens(prompt),
+        max_output_tokens: Tokens(100),
     };
     let mut predictor = Predictor::new();
     let at_load = |predictor: &Predictor, prompt, load| {
--- a/tests/decision_fixture/mod.rs
+++ b/tests/decision_fixture/mod.rs
@@ -182,7 +182,7 @@
         is_ready: true,
         revision: Revision(5),
         open_requests,
-        ticket_runs: Vec::new(),
+        ticket_owners: Vec::new(),
     }
 }
 
@@ -213,10 +213,10 @@
         caller: id(caller),
         target: id("model/stain"),
         tier: Tier::Default,
-        prompt: Tokens(512),
-        max_output: Tokens(400),
+        prompt_tokens: Tokens(512),
+        max_output_tokens: Tokens(400),
         prefix_hashes: Vec::new(),
-        body: Bytes(2_048),
+        body_bytes: Bytes(2_048),
         deadline_ms,
         is_repeatable: true,
         needs_continuation: false,
@@ -259,8 +259,8 @@
 /// A complete answer of 100 tokens.
 pub fn complete() -> AttemptOutcome {
     AttemptOutcome::Complete {
-        output: Tokens(100),
-        cached: Tokens(0),
+        output_tokens: Tokens(100),
+        cached_tokens: Tokens(0),
     }
 }
 
--- a/tests/decision_golden.rs
+++ b/tests/decision_golden.rs
@@ -82,7 +82,9 @@
     session.step(30, "arrive 4 priority", ask(4, Tier::Priority, 30_000));
     session.step(40, "arrive 5 due in 4 s", ask(5, Tier::Default, 4_040));
     session.step(50, "arrive 6 priority", ask(6, Tier::Priority, 30_000));
-    let disconnected = AttemptOutcome::CallerDisconnected { wasted: Tokens(0) };
+    let disconnected = AttemptOutcome::CallerDisconnected {
+        wasted_tokens: Tokens(0),
+    };
     session.step(60, "caller of 6 gone", ended(6, 0, disconnected));
     session.step(2_000, "complete 1", ended(1, 0, complete()));
     session.step(4_000, "complete 4", ended(4, 0, complete()));
@@ -190,7 +192,7 @@
         Event::Arrived(arrival)
     };
     let interrupted = || AttemptOutcome::Interrupted {
-        delivered: Tokens(7),
+        delivered_tokens: Tokens(7),
     };
 
     session.step(0, "arrive 1", ask(1));
@@ -227,7 +229,7 @@
     let mut session = Session::new(gateway);
     let ask = |number| {
         let mut arrival = arrival(number, "bound", at(20_000));
-        arrival.max_output = Tokens(40_000);
+        arrival.max_output_tokens = Tokens(40_000);
         Event::Arrived(arrival)
     };
     let caller = || id("bound");
--- a/tests/decision_properties.rs
+++ b/tests/decision_properties.rs
@@ -367,10 +367,12 @@
                 is_leaving: false,
             },
             2 => AttemptOutcome::Interrupted {
-                delivered: Tokens(3),
+                delivered_tokens: Tokens(3),
             },
             3 => AttemptOutcome::Failed { status: 500 },
-            4 => AttemptOutcome::CallerDisconnected { wasted: Tokens(9) },
+            4 => AttemptOutcome::CallerDisconnected {
+                wasted_tokens: Tokens(9),
+            },
             5 => AttemptOutcome::Rejected {
                 retry_after_ms: None,
                 is_leaving: true,
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -94,7 +94,7 @@
         is_ready: true,
         revision: Revision(5),
         open_requests: 0,
-        ticket_runs: Vec::new(),
+        ticket_owners: Vec::new(),
     }
 }
 
