--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -86,13 +86,13 @@
         self.learn(now_ms, &open, outcome);
         self.note_outcome(now_ms, &mut open, outcome);
         self.charge(now_ms, &mut open, outcome);
-        let is_answered = open.answered_ms.is_some();
+        let is_refused = open.refused_ms.is_some();
         if let AttemptOutcome::Interrupted { delivered_tokens } = outcome {
             open.arrival.needs_continuation |= *delivered_tokens > Tokens(0);
         }
-        if !is_answered && may_repeat(outcome, open.arrival.is_repeatable) {
+        if !is_refused && may_repeat(outcome, open.arrival.is_repeatable) {
             self.retry(now_ms, request, open, outcome, actions);
-        } else if !is_answered && matches!(outcome, AttemptOutcome::Interrupted { .. }) {
+        } else if !is_refused && matches!(outcome, AttemptOutcome::Interrupted { .. }) {
             let refusal = self.retryable_refusal(RefusalReason::RetriesExhausted);
             self.refuse(request, open, refusal, actions);
         } else {
--- a/src/decision/budget.rs
+++ b/src/decision/budget.rs
@@ -3,7 +3,7 @@
 //! Before it is sent, a request reserves the most that an attempt can cost; it is
 //! then charged the actual cost of its attempts. Charges and reservations of a
 //! period never exceed the grants of that period plus the outage allowance, which
-//! one run of this host may use while no grant is available. A charge beyond its
+//! one instance of this host may use while no grant is available. A charge beyond its
 //! reservation, caused by an endpoint that generated more than requested, counts
 //! in full and reduces what later grants leave available.
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// Totals of work that did not contribute to an answer, and of traffic between
+/// Totals of work that did not contribute to a response, and of traffic between
 /// regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Waste {
@@ -131,7 +131,7 @@
     demand: f64,
     demand_at_ms: Millis,
     requested_ms: Option<Millis>,
-    /// Largest amount that a request was short of since the last answer to a grant
+    /// Largest amount that a request was short of since the last reply to a grant
     /// request.
     shortfall: CostMicros,
     refused_period_ms: Option<Millis>,
@@ -157,7 +157,8 @@
         account.ledgers.get(&period_start_ms).copied()
     }
 
-    /// Amount of a caller's outage allowance that this run of the host has used.
+    /// Amount of a caller's outage allowance that this instance of the host has
+    /// used.
     pub fn allowance_used(&self, caller: &CallerId) -> CostMicros {
         let account = self.accounts.get(caller);
         account.map_or(CostMicros(0), |account| account.allowance_used)
--- a/src/decision/endpoint_choice.rs
+++ b/src/decision/endpoint_choice.rs
@@ -41,11 +41,11 @@
     pub target: &'a Target,
     /// Version that the endpoint must serve; `None` for services.
     pub version: Option<&'a str>,
-    /// Size of the work.
+    /// Size of the request.
     pub work: Work,
     /// Hashes of the prompt's leading blocks.
     pub prefix_hashes: &'a [u64],
-    /// Whether the endpoint must continue a partial answer.
+    /// Whether the endpoint must be able to continue a partial response.
     pub needs_continuation: bool,
     /// Endpoints of its earlier attempts.
     pub tried: &'a [EndpointId],
--- a/src/decision/endpoint_state.rs
+++ b/src/decision/endpoint_state.rs
@@ -55,7 +55,7 @@
     ended: Vec<EndedSend>,
 }
 
-/// Marks an endpoint as leaving, in the given run if that is known.
+/// Marks an endpoint as leaving, in the given incarnation if that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LeavingMark {
     incarnation: Option<Incarnation>,
@@ -98,12 +98,13 @@
         self.leaving.is_none() && self.unlisted_ms.is_none() && self.info.slots > 0
     }
 
-    /// Whether it is leaving in its current run.
+    /// Whether it is leaving in its current instance.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_some()
     }
 
-    /// Marks it as leaving: it gets no new requests until it reports a new run.
+    /// Marks it as leaving: it gets no new requests until it reports a new
+    /// incarnation.
     pub fn mark_leaving(&mut self) {
         if self.leaving.is_none() {
             let incarnation = self.report.as_ref().map(|report| report.incarnation);
@@ -114,7 +115,7 @@
     /// Applies the endpoint's entry in a newly read list.
     ///
     /// Only a change to leaving marks it as leaving: the list lags and would
-    /// otherwise also mark the endpoint's next run.
+    /// otherwise also mark the endpoint's next instance.
     pub fn update_info(&mut self, info: EndpointInfo) {
         let starts_leaving = info.is_leaving && !self.info.is_leaving;
         self.info = info;
@@ -139,7 +140,7 @@
         if is_newer {
             self.apply_newer(report, is_same_instance);
         } else if is_same_instance && report.is_leaving {
-            // Leaving is final for a run, even if its report arrives late.
+            // Leaving is final for an instance, even if its report arrives late.
             self.mark_leaving();
         }
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -74,11 +74,12 @@
     pub prefix_hashes: Vec<u64>,
     /// Length of the request body.
     pub body_bytes: Bytes,
-    /// Time by which the complete answer is due.
+    /// Time by which the complete response is due.
     pub deadline_ms: Millis,
     /// Whether it is safe to run the call more than once.
     pub is_repeatable: bool,
-    /// Whether it must be served by an endpoint that can continue a partial answer.
+    /// Whether it must be served by an endpoint that can continue a partial
+    /// response.
     pub needs_continuation: bool,
     /// Where it came from.
     pub origin: Origin,
@@ -88,7 +89,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// The complete answer was passed on.
+    /// The complete response was passed on.
     Complete {
         /// Generated tokens.
         output_tokens: Tokens,
@@ -109,14 +110,14 @@
         /// Tokens that the caller has already received.
         delivered_tokens: Tokens,
     },
-    /// The exchange failed after part of an answer that cannot be continued.
+    /// The exchange failed after part of a response that cannot be continued.
     Truncated {
         /// Tokens that the caller has already received.
         delivered_tokens: Tokens,
     },
-    /// The endpoint answered with an error, which was passed on.
+    /// The endpoint responded with an error, which was passed on.
     Failed {
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
     },
     /// The caller disconnected.
@@ -215,7 +216,7 @@
     NotReady,
 }
 
-/// A final answer that the request is not served.
+/// The final response to a request that is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Reason for the refusal.
@@ -270,7 +271,7 @@
         /// Regions that may see the request.
         allowed: AllowedRegions,
     },
-    /// Refuse the request, as its final answer.
+    /// Refuse the request, as its final response.
     Refuse {
         /// The request.
         request: RequestId,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -102,7 +102,7 @@
 pub struct GatewayConfig {
     /// This host.
     pub host: HostId,
-    /// Its current run, which a restart changes.
+    /// Its current instance, which a restart changes.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
@@ -250,7 +250,7 @@
         &self.budget
     }
 
-    /// Work that did not contribute to an answer, and traffic between regions.
+    /// Work that did not contribute to a response, and traffic between regions.
     pub fn waste(&self) -> Waste {
         self.waste
     }
--- a/src/decision/policy.rs
+++ b/src/decision/policy.rs
@@ -98,7 +98,7 @@
     pub decode_per_request_us: u32,
     /// Initial estimate of a service's run time.
     pub service_call_ms: Millis,
-    /// Initial estimate of a model's answer length.
+    /// Initial estimate of a model's response length.
     pub output: Tokens,
     /// Weight of the newest sample in the moving averages, in thousandths.
     pub learn_permille: u16,
@@ -175,7 +175,7 @@
     pub ramp_ms: Millis,
     /// Share that it gets at once, in thousandths.
     pub ramp_start_permille: u16,
-    /// Bytes between regions per token of an answer: one server-sent event.
+    /// Bytes between regions per token of a response: one server-sent event.
     pub answer_bytes_per_token: u32,
 
     /// Maximum number of queued requests that are tried when an endpoint may have
@@ -210,11 +210,11 @@
     pub grant_min: CostMicros,
     /// Largest amount requested, in thousandths of the budget.
     pub grant_max_permille: u16,
-    /// Time after which an unanswered or failed grant request is repeated.
+    /// Time after which a grant request is retried if it failed or got no reply.
     pub grant_retry_ms: Millis,
     /// Longest wait of a request for a grant.
     pub grant_wait_ms: Millis,
-    /// What one run of this host may spend of each budget while grants are
+    /// What one instance of this host may spend of each budget while grants are
     /// unavailable, in thousandths. Nine hosts together stay below a tenth.
     pub outage_permille: u16,
 
--- a/src/decision/predict.rs
+++ b/src/decision/predict.rs
@@ -1,9 +1,9 @@
 //! Predicted run time of a request at an endpoint.
 //!
 //! Prefill time comes from the prompt tokens that are not cached, decode time
-//! from the batch size and the expected answer length, and queue wait from the
-//! requests beyond the endpoint's slots and the past run times. Answer lengths and
-//! run times are moving averages over attempts with a complete answer.
+//! from the batch size and the expected response length, and queue wait from the
+//! requests beyond the endpoint's slots and the past run times. Response lengths and
+//! run times are moving averages over attempts with a complete response.
 
 use std::collections::BTreeMap;
 
@@ -38,12 +38,12 @@
 }
 
 impl Prediction {
-    /// From now to the complete answer.
+    /// From now to the complete response.
     pub fn finish_ms(&self) -> f64 {
         self.wait_ms + self.run_ms()
     }
 
-    /// From the start of the run to the complete answer.
+    /// From the start of the run to the complete response.
     pub fn run_ms(&self) -> f64 {
         self.prefill_ms + self.decode_ms
     }
--- a/src/decision/region_choice.rs
+++ b/src/decision/region_choice.rs
@@ -62,7 +62,7 @@
 /// Estimated performance and load of the local region for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalEstimate {
-    /// Predicted time until the complete answer, in milliseconds, or `None` without
+    /// Predicted time until the complete response, in milliseconds, or `None` without
     /// an endpoint.
     pub finish_ms: Option<f64>,
     /// Estimated requests in progress per slot.
@@ -80,7 +80,7 @@
 pub struct RemoteRegion {
     /// The region.
     pub region: RegionId,
-    /// Predicted time until the complete answer has arrived here, in milliseconds.
+    /// Predicted time until the complete response has arrived here, in milliseconds.
     pub finish_ms: f64,
     /// Requests in progress per slot.
     pub load_per_slot: f64,
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -27,7 +27,7 @@
     Tokens, //
 };
 
-/// Lowest status of an answer for which a model engine may have prefilled the
+/// Lowest status of a response for which a model engine may have prefilled the
 /// prompt before it failed.
 const SERVER_ERROR: u16 = 500;
 
@@ -73,7 +73,7 @@
     pub has_first_token: bool,
     /// When the request was refused at its deadline while its attempt was still
     /// running.
-    pub answered_ms: Option<Millis>,
+    pub refused_ms: Option<Millis>,
 }
 
 impl OpenRequest {
@@ -90,7 +90,7 @@
             reservation: None,
             sent_ms: now_ms,
             has_first_token: false,
-            answered_ms: None,
+            refused_ms: None,
         }
     }
 
@@ -183,7 +183,7 @@
     /// Whether it may wait for an endpoint that has its prefix cached.
     ///
     /// Only a first attempt may, for which `sent_ms` is still the time of arrival.
-    /// A caller whose answer was interrupted, or whose deadline is near, should not
+    /// A caller whose response was interrupted, or whose deadline is near, should not
     /// wait longer.
     fn may_wait_for_cache(&self, now_ms: Millis, policy: &Policy) -> bool {
         let limit_ms = policy.affinity_wait_ms;
--- a/src/decision/tick.rs
+++ b/src/decision/tick.rs
@@ -47,8 +47,8 @@
             return;
         };
         let policy = &self.inputs.policy;
-        if let Some(answered_ms) = open.answered_ms {
-            if answered_ms + policy.cancel_wait_ms <= now_ms {
+        if let Some(refused_ms) = open.refused_ms {
+            if refused_ms + policy.cancel_wait_ms <= now_ms {
                 self.abandon_cancelled(now_ms, request);
             }
             return;
@@ -73,8 +73,8 @@
 
     /// Ends a request at its deadline.
     ///
-    /// An answer that has begun is not cancelled: the caller is already reading it,
-    /// and a late complete answer is more useful than a truncated one.
+    /// A response that has begun is not cancelled: the caller is already reading it,
+    /// and a late complete response is more useful than a truncated one.
     fn expire(&mut self, now_ms: Millis, request: RequestId, actions: &mut Vec<Action>) {
         let refusal = Refusal::new(RefusalReason::DeadlinePassed);
         let Some(open) = self.open.get_mut(&request) else {
@@ -89,7 +89,7 @@
             }
             return;
         }
-        open.answered_ms = Some(now_ms);
+        open.refused_ms = Some(now_ms);
         let attempt = open.attempt;
         let until_ms = now_ms + self.inputs.policy.cancel_wait_ms;
         self.timers.insert((until_ms, request));
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -54,7 +54,7 @@
     pub version: CompactString,
     /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it can continue a partial answer without repeating it.
+    /// Whether it can continue a partial response without repeating it.
     pub can_continue: bool,
     /// Whether the list shows it as leaving.
     pub is_leaving: bool,
@@ -78,9 +78,9 @@
 pub struct Heartbeat {
     /// The host.
     pub host: HostId,
-    /// Its current run.
+    /// Its current instance.
     pub incarnation: Incarnation,
-    /// Sequence number of the heartbeat within this run.
+    /// Sequence number of the heartbeat within this instance.
     pub sequence: u64,
     /// Its region.
     pub region: RegionId,
@@ -98,8 +98,8 @@
     pub revision: Revision,
     /// Requests in progress.
     pub open_requests: u32,
-    /// Host runs whose tickets it is responsible for, including its own run until
-    /// it has handed its tickets over.
+    /// Host instances whose tickets it decides, including its own instance until it
+    /// has handed its tickets over.
     pub ticket_owners: Vec<HostRun>,
 }
 
@@ -108,7 +108,7 @@
 pub struct EndpointReport {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its current run, if it reports one.
+    /// Its current instance, if it reports one.
     pub incarnation: Incarnation,
     /// When the load was measured.
     pub measured_ms: Millis,
@@ -159,7 +159,7 @@
     pub hosts: Vec<ForwardHost>,
 }
 
-/// Past runs remembered per host, so that their late heartbeats are ignored.
+/// Past incarnations remembered per host, so that their late heartbeats are ignored.
 const PAST_INCARNATIONS: usize = 4;
 
 /// The known state of a host.
@@ -169,10 +169,10 @@
     pub heartbeat: Heartbeat,
     /// When the newest heartbeat arrived here.
     pub received_ms: Millis,
-    /// When the first heartbeat of its current run arrived here.
+    /// When the first heartbeat of its current instance arrived here.
     pub instance_since_ms: Millis,
-    /// Whether a heartbeat of its current run, or the platform's list, has marked it
-    /// as leaving.
+    /// Whether a heartbeat of its current instance, or the platform's list, has
+    /// marked it as leaving.
     pub is_leaving: bool,
     /// Whether callers should prefer other hosts.
     pub is_overloaded: bool,
@@ -427,8 +427,9 @@
         })
     }
 
-    /// Returns the run that is responsible for the tickets of `run`: `run` itself,
-    /// or the run of another host that has announced that it took them over.
+    /// Returns the host instance that decides the tickets issued by `owner`: `owner`
+    /// itself, or the instance of another host that has announced that it took them
+    /// over.
     pub fn ticket_holder(&self, owner: &HostRun) -> HostRun {
         let is_successor = |state: &&HostState| {
             state.heartbeat.host != owner.host && state.heartbeat.ticket_owners.contains(owner)
--- a/tests/decision_accounts.rs
+++ b/tests/decision_accounts.rs
@@ -149,7 +149,7 @@
     assert!(matches!(paid[..], [.., Action::Send { .. }]), "{paid:?}");
 }
 
-/// Guards against requests that wait until their deadline because the answer to a
+/// Guards against requests that wait until their deadline because the reply to a
 /// grant request was lost.
 #[test]
 fn wait_for_a_lost_grant_is_bounded() {
--- a/tests/decision_fixture/mod.rs
+++ b/tests/decision_fixture/mod.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// A load report from an endpoint's first run.
+/// A load report from an endpoint's first instance.
 pub fn report(name: &str, measured_ms: Millis, running: u32) -> EndpointReport {
     EndpointReport {
         endpoint: id(name),
@@ -256,7 +256,7 @@
     }
 }
 
-/// A complete answer of 100 tokens.
+/// A complete response of 100 tokens.
 pub fn complete() -> AttemptOutcome {
     AttemptOutcome::Complete {
         output_tokens: Tokens(100),
--- a/tests/decision_properties.rs
+++ b/tests/decision_properties.rs
@@ -148,11 +148,12 @@
     now_ms: Millis,
     arrivals: BTreeMap<RequestId, Arrival>,
     running: BTreeMap<RequestId, Attempt>,
-    answered: BTreeSet<RequestId>,
+    refused: BTreeSet<RequestId>,
     cancelled_ms: BTreeMap<RequestId, Millis>,
     ended: BTreeSet<RequestId>,
     leaving: BTreeSet<EndpointId>,
-    /// Time and run of each endpoint's newest report, and its earlier runs.
+    /// Time and incarnation of each endpoint's newest report, and its earlier
+    /// incarnations.
     reports: BTreeMap<EndpointId, (Millis, Incarnation, BTreeSet<Incarnation>)>,
     listed_leaving: BTreeSet<EndpointId>,
     granted: BTreeMap<&'static str, u64>,
@@ -176,7 +177,7 @@
             now_ms: START,
             arrivals: BTreeMap::new(),
             running: BTreeMap::new(),
-            answered: BTreeSet::new(),
+            refused: BTreeSet::new(),
             cancelled_ms: BTreeMap::new(),
             ended: BTreeSet::new(),
             leaving: BTreeSet::new(),
@@ -237,8 +238,8 @@
                 self.check_start(*request, *attempt);
             }
             Action::Refuse { request, .. } => {
-                assert!(!self.ended.contains(request), "refused after its answer");
-                assert!(self.answered.insert(*request), "refused twice");
+                assert!(!self.ended.contains(request), "refused after its response");
+                assert!(self.refused.insert(*request), "refused twice");
             }
             Action::Cancel { request, attempt } => {
                 assert_eq!(self.running.get(request), Some(attempt));
@@ -250,8 +251,8 @@
     }
 
     fn check_start(&mut self, request: RequestId, attempt: Attempt) {
-        assert!(!self.answered.contains(&request), "sent after its refusal");
-        assert!(!self.ended.contains(&request), "sent after its answer");
+        assert!(!self.refused.contains(&request), "sent after its refusal");
+        assert!(!self.ended.contains(&request), "sent after its response");
         assert!(self.now_ms < self.arrivals[&request].deadline_ms);
         let known = self.running.insert(request, attempt);
         assert_eq!(known, None, "sent twice at the same time");
@@ -460,7 +461,7 @@
     }
 
     /// Records a report. A leaving endpoint stops leaving only with a newer report of
-    /// a run that has not reported before.
+    /// an instance that has not reported before.
     fn note_report(&mut self, name: &EndpointId, at_ms: Millis, run: Incarnation, leaves: bool) {
         let known = self.reports.get(name).cloned();
         let is_newer = known
@@ -532,14 +533,17 @@
         }
     }
 
-    /// Checks that every request is answered, or has a running attempt, once its
+    /// Checks that every request has a response or a running attempt once its
     /// deadline has passed.
     fn check_waiting(&self) {
         for (request, arrival) in &self.arrivals {
-            let is_done = self.answered.contains(request) || self.ended.contains(request);
+            let is_done = self.refused.contains(request) || self.ended.contains(request);
             let is_due = arrival.deadline_ms <= self.now_ms;
             let is_running = self.running.contains_key(request);
-            assert!(is_done || is_running || !is_due, "{request} has no answer");
+            assert!(
+                is_done || is_running || !is_due,
+                "{request} has no response"
+            );
         }
     }
 
@@ -570,7 +574,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     /// Guards against violations of what `Checked` verifies: residency, at most one
-    /// forward, endpoint drain, spending limits, and one final answer in time. Also
+    /// forward, endpoint drain, spending limits, and one final response in time. Also
     /// guards against reservations or requests in flight that remain after all
     /// requests have ended.
     #[test]
--- a/tests/endpoint_drain.rs
+++ b/tests/endpoint_drain.rs
@@ -39,7 +39,7 @@
 const LIST_LAG: Duration = Duration::from_secs(1);
 /// Time limit for hosts to find each other, and for a stream to start.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Length of an answer that takes several seconds.
+/// Length of a response that takes several seconds.
 const LONG_TOKENS: u64 = 200;
 
 fn options() -> TestbedOptions {
@@ -87,10 +87,13 @@
         .collect();
     let mut served = 0;
     for chat in chats {
-        let answer = chat.join().expect("a caller must not panic");
-        let answer = answer.expect("the host must answer");
-        let is_served = answer.status == 200;
-        assert!(is_served || answer.run_state() == "not_run", "{answer:?}");
+        let response = chat.join().expect("a caller must not panic");
+        let response = response.expect("the host must respond");
+        let is_served = response.status == 200;
+        assert!(
+            is_served || response.run_state() == "not_run",
+            "{response:?}"
+        );
         served += usize::from(is_served);
     }
     served
@@ -118,7 +121,7 @@
         let sent = prompt.clone();
         let stream = thread::spawn(move || {
             let stream = caller.stream(&sent, LONG_TOKENS);
-            stream.expect("the host must answer")
+            stream.expect("the host must respond")
         });
         streams.push((prompt, stream));
     }
--- a/tests/residency.rs
+++ b/tests/residency.rs
@@ -129,12 +129,12 @@
         .collect()
 }
 
-fn request_id(answer: &CallerAnswer) -> String {
-    let id = answer.headers.get("x-request-id");
-    id.expect("an answer names its request").to_string()
+fn request_id(response: &CallerAnswer) -> String {
+    let id = response.headers.get("x-request-id");
+    id.expect("a response contains its request id").to_string()
 }
 
-/// Sends concurrent requests of one caller and collects the answers.
+/// Sends concurrent requests of one caller and collects the responses.
 fn chat_at_once(address: SocketAddr, key: &str, marker: &str, count: usize) -> Vec<CallerAnswer> {
     let caller = Caller::new(address).with_key(key);
     let chats: Vec<_> = (0..count)
@@ -143,10 +143,10 @@
             thread::spawn(move || caller.chat(&prompt, 30))
         })
         .collect();
-    let answers = chats.into_iter().map(|chat| chat.join());
-    answers
-        .map(|answer| answer.expect("a caller must not panic"))
-        .map(|answer| answer.expect("the host must answer"))
+    let responses = chats.into_iter().map(|chat| chat.join());
+    responses
+        .map(|response| response.expect("a caller must not panic"))
+        .map(|response| response.expect("the host must respond"))
         .collect()
 }
 
@@ -156,12 +156,12 @@
 fn overload_until_forwarded(env: &TestEnv, regions: &[&str]) -> Vec<CallerAnswer> {
     let home = env.host("stred").address;
     let deadline = Instant::now() + OVERLOAD_TIMEOUT;
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     loop {
-        answers.extend(chat_at_once(home, CALLER_KEY, FREE_MARKER, 12));
+        responses.extend(chat_at_once(home, CALLER_KEY, FREE_MARKER, 12));
         let forwarded = regions.iter().map(|r| marker_count(env, r, FREE_MARKER));
         if forwarded.sum::<u64>() > 0 {
-            return answers;
+            return responses;
         }
         let is_late = Instant::now() >= deadline;
         assert!(
@@ -173,7 +173,7 @@
 }
 
 /// Sends the head of a request without its body and returns the status of the
-/// answer.
+/// response.
 fn status_of_head_only(address: SocketAddr, key: &str, path: &str) -> u16 {
     let mut stream = TcpStream::connect(address).expect("the host must accept");
     let head = format!(
@@ -184,8 +184,8 @@
         .write_all(head.as_bytes())
         .expect("the host must read the head");
     let mut connection = Connection::new(stream).expect("a connected socket");
-    let answer = connection.read_response_head(Instant::now() + REFUSAL_TIMEOUT);
-    answer.map_or(0, |answer| answer.status)
+    let response = connection.read_response_head(Instant::now() + REFUSAL_TIMEOUT);
+    response.map_or(0, |response| response.status)
 }
 
 fn assert_never_received(env: &TestEnv, region: &str, marker: &str, ids: &BTreeSet<String>) {
@@ -206,7 +206,7 @@
 }
 
 /// Guards against a bound request leaving its region because of overload,
-/// interrupted answers or a network partition between regions.
+/// interrupted responses or a network partition between regions.
 #[test]
 fn a_bound_request_stays_home_under_overload_cuts_and_retries() {
     let mut env = TestEnv::start(&small_engines());
@@ -227,15 +227,18 @@
     let stock = caller.get(&format!("/v1/services/{SERVICE}/stock/{BOUND_MARKER}"));
     thread::sleep(Duration::from_millis(300));
     env.testbed.set_cut_between("stred", "zapad", false);
-    let mut answers = bound.join().expect("the callers must not panic");
-    answers.push(stock.expect("the host must answer"));
+    let mut responses = bound.join().expect("the callers must not panic");
+    responses.push(stock.expect("the host must respond"));
     free.join().expect("the callers must not panic");
 
-    let ids = answers.iter().map(request_id).collect();
+    let ids = responses.iter().map(request_id).collect();
     for region in FORBIDDEN {
         assert_never_received(&env, region, BOUND_MARKER, &ids);
     }
-    let served = answers.iter().filter(|answer| answer.status == 200).count();
+    let served = responses
+        .iter()
+        .filter(|response| response.status == 200)
+        .count();
     assert!(
         served > 0,
         "the home region served nothing:\n{}",
@@ -313,8 +316,8 @@
     link.write_exchange_frame(1, &stale_forward(&sender, older), &[], deadline)
         .expect("the host must read the frame");
 
-    let answer = link.read_exchange_frame(deadline);
-    let (_, message) = answer.expect("a refusal must come without the body");
+    let response = link.read_exchange_frame(deadline);
+    let (_, message) = response.expect("a refusal must come without the body");
     let Frame::Refused { refusal, run_state } = message.frame else {
         panic!("expected a refusal, got {:?}", message.frame);
     };
@@ -360,10 +363,10 @@
     wait_for(IN_FORCE_TIMEOUT, "421 at the stale host", || {
         status_of_head_only(zapad, CALLER_KEY, "/v1/chat/completions") == 421
     });
-    let mut answers = load.join().expect("the callers must not panic");
-    answers.extend(chat_at_once(home, CALLER_KEY, FREE_MARKER, 16));
+    let mut responses = load.join().expect("the callers must not panic");
+    responses.extend(chat_at_once(home, CALLER_KEY, FREE_MARKER, 16));
 
-    let ids = answers.iter().map(request_id).collect();
+    let ids = responses.iter().map(request_id).collect();
     for region in FORBIDDEN {
         assert_never_received(&env, region, FREE_MARKER, &ids);
     }
