--- a/src/decision/policy.rs
+++ b/src/decision/policy.rs
@@ -125,8 +125,8 @@
     /// Endpoints whose predicted completion exceeds the best one by at most this
     /// share of it, in thousandths, count as equal.
     pub near_equal_permille: u16,
-    /// Smallest difference in predicted completion that is significant, so that
-    /// short calls are spread too.
+    /// Endpoints whose predicted completion is within this time of the best one
+    /// always count as equal, so that short calls are spread too.
     pub near_equal_ms: Millis,
     /// Load up to which prefix affinity applies, in thousandths of the mean.
     pub bounded_load_permille: u16,
