--- a/src/gateway/serve_completion.rs
+++ b/src/gateway/serve_completion.rs
@@ -236,12 +236,12 @@
             return;
         };
         exchange.inbound = None;
-        let dispatch = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
-        if exchange.route.runs_without_caller() && dispatch.is_some() {
+        let upstream = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
+        if exchange.route.runs_without_caller() && upstream.is_some() {
             return;
         }
         self.end_dispatch(key, None, now_ms);
-        if let Some(upstream) = dispatch {
+        if let Some(upstream) = upstream {
             self.close_upstream(upstream);
         }
         self.end_exchange(key, "caller left", 0);
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -194,14 +194,14 @@
     /// Returns the time that a single endpoint would need for the queue of this
     /// host ahead of `key`, or for the entire queue if `key` is none.
     pub(super) fn own_queue_ms(&self, service: &Service, key: Option<usize>, now_ms: u64) -> f64 {
-        let own_rank = key.and_then(|key| self.exchanges.get(key)).map(rank);
+        let own_sort_key = key.and_then(|key| self.exchanges.get(key)).map(sort_key);
         let ahead = self
             .waiting
             .iter()
             .filter(|other| Some(**other) != key)
             .filter_map(|other| self.exchanges.get(*other))
             .filter(|other| other.route.service == service.name)
-            .filter(|other| own_rank.is_none_or(|own| rank(other) <= own));
+            .filter(|other| own_sort_key.is_none_or(|own| sort_key(other) <= own));
         ahead
             .map(|other| {
                 self.fleet
@@ -219,13 +219,13 @@
         if exchange.is_forwarded {
             return None;
         }
-        let own = &self.settings.host.region;
+        let own_region = &self.settings.host.region;
         let mut regions: Vec<&CompactString> = self.settings.regions.values().collect();
         regions.sort_unstable();
         regions.dedup();
         regions
             .into_iter()
-            .filter(|region| *region != own && exchange.route.allows_region(region))
+            .filter(|region| *region != own_region && exchange.route.allows_region(region))
             .filter(|region| !exchange.excluded_regions.contains(region))
             .filter(|region| self.hosts.live(now_ms).any(|host| host.region == **region))
             .filter_map(|region| self.remote_offer(region, exchange, service, now_ms))
@@ -291,7 +291,7 @@
         }
         let mut order = self.waiting.clone();
         order.retain(|key| self.exchanges.contains(*key));
-        order.sort_by_key(|key| rank(&self.exchanges[*key]));
+        order.sort_by_key(|key| sort_key(&self.exchanges[*key]));
         let mut tried: Vec<(CompactString, usize)> = Vec::new();
         for key in order {
             let Some(exchange) = self.exchanges.get(key) else {
@@ -314,7 +314,7 @@
 }
 
 /// Sort key of waiting requests: priority, then arrival.
-fn rank(exchange: &Exchange) -> (u8, u64, u64) {
+fn sort_key(exchange: &Exchange) -> (u8, u64, u64) {
     let priority = exchange.route.priority.unwrap_or(0);
     (priority, exchange.arrived_ms, exchange.serial)
 }
--- a/src/gateway/serve_response.rs
+++ b/src/gateway/serve_response.rs
@@ -244,11 +244,11 @@
             .map(|dispatch| dispatch.sent_ms);
         let service = self.exchanges[key].route.service.clone();
         if let Some(sent_ms) = sent_ms {
-            let is_here = matches!(
+            let is_local = matches!(
                 self.exchanges[key].destination(),
                 Some(Destination::Endpoint(_))
             );
-            if is_here {
+            if is_local {
                 self.fleet
                     .record_run_time(&service, now_ms.saturating_sub(sent_ms) as f64);
             }
@@ -301,10 +301,10 @@
                 exchange.excluded_endpoints.push(choice.endpoint.clone());
                 self.end_dispatch(key, Some(failure), now_ms);
                 let service = self.exchanges[key].route.service.clone();
-                let tries_left =
+                let has_attempts_left =
                     self.exchanges[key].excluded_endpoints.len() < MAX_EXCLUDED_ENDPOINTS;
                 let hosts = self.hosts.live_count(now_ms);
-                if tries_left && self.retry_budget.try_take(&service, hosts, now_ms) {
+                if has_attempts_left && self.retry_budget.try_take(&service, hosts, now_ms) {
                     return self.place_exchange(key);
                 }
                 self.refuse(key, "endpoint full", retry_ms);
