--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -135,10 +135,10 @@
             TicketTable, //
         },
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
             Presented,
             TicketId,
+            TicketOwner,
             TicketSigner, //
         }, //
     },
@@ -1186,9 +1186,9 @@
     matches!(grant::take_grant(kv, &request), GrantOutcome::Granted(_))
 }
 
-fn owner() -> Owner {
-    Owner {
-        run: HostRun {
+fn owner() -> TicketOwner {
+    TicketOwner {
+        instance: HostInstance {
             host: id("host-0"),
             incarnation: Incarnation(1),
         },
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -24,7 +24,7 @@
     share, //
 };
 use crate::{
-    ticket::token::HostRun,
+    ticket::token::HostInstance,
     types::{
         DataCentreId,
         EndpointId,
@@ -100,7 +100,7 @@
     pub open_requests: u32,
     /// Runs whose tickets it decides; its own one is among them until it has
     /// handed them over.
-    pub held_runs: Vec<HostRun>,
+    pub held_runs: Vec<HostInstance>,
 }
 
 /// Load that an endpoint reports.
@@ -423,12 +423,12 @@
 
     /// The run that decides the tickets of `run`: itself, or the one that has
     /// announced that it took them over.
-    pub fn holder_of(&self, run: &HostRun) -> HostRun {
+    pub fn holder_of(&self, run: &HostInstance) -> HostInstance {
         let is_successor = |state: &&HostState| {
             state.heartbeat.host != run.host && state.heartbeat.held_runs.contains(run)
         };
         match self.hosts.values().find(is_successor) {
-            Some(state) => HostRun {
+            Some(state) => HostInstance {
                 host: state.heartbeat.host.clone(),
                 incarnation: state.heartbeat.incarnation,
             },
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -312,7 +312,7 @@
         }
         let left = self.open_requests();
         if let Some(successor) = successor.filter(|_| !is_cut_short()) {
-            let host = &successor.run.host;
+            let host = &successor.instance.host;
             match handover.finish(&successor) {
                 true => tracing::info!(%host, "handed the ticket table over"),
                 false => tracing::warn!(%host, "the ticket table was not handed over"),
--- a/src/host/parts.rs
+++ b/src/host/parts.rs
@@ -57,8 +57,8 @@
     ticket::{
         table::TicketTable,
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
+            TicketOwner,
             TicketSigner, //
         }, //
     },
@@ -110,8 +110,8 @@
     keys: &HostKeys,
     relay: RelayContext,
 ) -> Result<(TicketContext, JoinHandle<()>), StartError> {
-    let me = Owner {
-        run: HostRun {
+    let me = TicketOwner {
+        instance: HostInstance {
             host: config.host.clone(),
             incarnation,
         },
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -23,8 +23,8 @@
     ticket::{
         handover::HANDOVER_VALID_MS,
         token::{
-            HostRun,
-            Owner, //
+            HostInstance,
+            TicketOwner, //
         }, //
     },
     tickets::TicketContext,
@@ -46,8 +46,8 @@
 
 impl Handover<'_> {
     /// Stops starting ticketed calls and names the host that will hold them.
-    pub fn start(&self) -> Option<Owner> {
-        let me = self.tickets.me.run.clone();
+    pub fn start(&self) -> Option<TicketOwner> {
+        let me = self.tickets.me.instance.clone();
         let chosen = self
             .tickets
             .relay
@@ -55,7 +55,7 @@
             .query(move |gateway| successor(gateway, &me));
         let successor = chosen.ok().flatten()?;
         self.tickets
-            .start_handover(successor.run.clone())
+            .start_handover(successor.instance.clone())
             .then_some(successor)
     }
 
@@ -63,7 +63,7 @@
     ///
     /// Without an acknowledgement the state of the tickets is unknown, since the
     /// successor may or may not hold them.
-    pub fn finish(&self, successor: &Owner) -> bool {
+    pub fn finish(&self, successor: &TicketOwner) -> bool {
         let Some(current) = self.in_force.get() else {
             return false;
         };
@@ -81,12 +81,12 @@
         false
     }
 
-    fn send(&self, successor: &Owner, table: &[u8]) -> bool {
+    fn send(&self, successor: &TicketOwner, table: &[u8]) -> bool {
         let request = Frame::TicketHandover {
             body: Bytes(table.len() as u64),
         };
         let answer = self.peers.ask(&Question {
-            host: &successor.run.host,
+            host: &successor.instance.host,
             address: successor.peer_address,
             request: &request,
             body: table,
@@ -98,7 +98,7 @@
 }
 
 /// A live host of this region, the same one for all who look at the same view.
-fn successor(gateway: &Gateway, me: &HostRun) -> Option<Owner> {
+fn successor(gateway: &Gateway, me: &HostInstance) -> Option<TicketOwner> {
     let region = &gateway.config().region;
     gateway
         .view()
@@ -107,8 +107,8 @@
         .max_by_key(|state| {
             crate::peer::rendezvous_rank(me.host.as_str(), state.heartbeat.host.as_str())
         })
-        .map(|state| Owner {
-            run: HostRun {
+        .map(|state| TicketOwner {
+            instance: HostInstance {
                 host: state.heartbeat.host.clone(),
                 incarnation: state.heartbeat.incarnation,
             },
--- a/src/ticket/handover.rs
+++ b/src/ticket/handover.rs
@@ -13,7 +13,7 @@
     },
     refusal::ClosedReason,
     token::{
-        HostRun,
+        HostInstance,
         TicketBody, //
     }, //
 };
@@ -59,11 +59,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// The run that is leaving.
-    pub from: HostRun,
+    pub from: HostInstance,
     /// The one run that may import it.
-    pub to: HostRun,
+    pub to: HostInstance,
     /// All runs whose tickets are in here: `from` and those it had imported.
-    pub held: Vec<HostRun>,
+    pub held: Vec<HostInstance>,
     /// Instant from which it must not be imported.
     pub valid_until_ms: Millis,
     /// The tickets, without those whose caller's data must not reach `to`.
@@ -75,10 +75,10 @@
 pub enum HandoverError {
     /// The successor is the leaving run itself.
     #[error("host run {0} cannot hand its tickets over to itself")]
-    ToItself(HostRun),
+    ToItself(HostInstance),
     /// The table has already been exported to another run.
     #[error("ticket table has already been exported to {0}")]
-    AlreadyExported(HostRun),
+    AlreadyExported(HostInstance),
     /// No handover has been started.
     #[error("ticket table cannot be exported: expected a started handover")]
     NotLeaving,
@@ -91,24 +91,24 @@
     #[error("handover is addressed to {to}, this is {me}")]
     NotAddressed {
         /// Whom it is addressed to.
-        to: HostRun,
+        to: HostInstance,
         /// The run that refuses it.
-        me: HostRun,
+        me: HostInstance,
     },
     /// The same run's table has been imported before; nothing has changed.
     #[error("handover of {0} has already been imported")]
-    AlreadyImported(HostRun),
+    AlreadyImported(HostInstance),
     /// It is older than [`HANDOVER_VALID_MS`].
     #[error("handover of {from} was valid until {valid_until_ms}")]
     Late {
         /// The run that exported it.
-        from: HostRun,
+        from: HostInstance,
         /// When it ceased to be valid.
         valid_until_ms: Millis,
     },
     /// This run has exported its own table.
     #[error("handover of {0} reached a host that has handed over its own tickets")]
-    AlreadyExported(HostRun),
+    AlreadyExported(HostInstance),
 }
 
 /// What an import took over.
--- a/src/ticket/route.rs
+++ b/src/ticket/route.rs
@@ -8,9 +8,9 @@
         UNREACHABLE_RETRY_MS, //
     },
     token::{
-        HostRun,
-        Owner,
+        HostInstance,
         Ticket, //
+        TicketOwner,
     }, //
 };
 use crate::{
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct RouteView<'a> {
     /// This host.
-    pub me: &'a Owner,
+    pub me: &'a TicketOwner,
     /// Instant at which this host started.
     pub started_ms: Millis,
     /// [`TicketTable::holds`](super::table::TicketTable::holds) of this host.
@@ -60,7 +60,7 @@
     pub is_forwarded: bool,
     /// The run last known to hold the tickets of the owner: the owner itself,
     /// or the last successor that announced its run.
-    pub holder: &'a HostRun,
+    pub holder: &'a HostInstance,
     /// Newest news of the host of `holder`.
     pub sighting: Option<&'a Sighting>,
     /// Regions that the caller's intent allows.
@@ -75,7 +75,7 @@
     /// Ask the table of this host; its answer is final.
     Local,
     /// Forward to this run, which is the last host of the call.
-    Forward(Owner),
+    Forward(TicketOwner),
     /// Nobody can be asked now.
     Refused(TicketRefusal),
 }
@@ -85,11 +85,11 @@
     if view.is_held_here {
         return Route::Local;
     }
-    if *view.holder == view.me.run {
+    if *view.holder == view.me.instance {
         // The table has been exported and its successor is not known here yet.
         return Route::Refused(TicketRefusal::leaving());
     }
-    if view.holder.host == view.me.run.host {
+    if view.holder.host == view.me.instance.host {
         return Route::Refused(earlier_run(view.started_ms, view.now_ms));
     }
     if view.is_forwarded {
@@ -108,17 +108,17 @@
     if !view.allowed.contains(&sighting.region) {
         return Route::Refused(TicketRefusal::unreachable());
     }
-    Route::Forward(Owner {
-        run: view.holder.clone(),
+    Route::Forward(TicketOwner {
+        instance: view.holder.clone(),
         region: sighting.region.clone(),
         peer_address: sighting.peer_address,
     })
 }
 
 /// A host of another region is often unknown here; its ticket has its address.
-fn route_unseen(ticket: &Ticket, holder: &HostRun) -> Route {
+fn route_unseen(ticket: &Ticket, holder: &HostInstance) -> Route {
     let owner = &ticket.body().owner;
-    if owner.run == *holder {
+    if owner.instance == *holder {
         return Route::Forward(owner.clone());
     }
     Route::Refused(TicketRefusal::unreachable())
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -34,11 +34,11 @@
     },
     route::OWNER_SETTLE_MS,
     token::{
-        HostRun,
-        Owner,
+        HostInstance,
         Ticket,
         TicketBody,
         TicketId, //
+        TicketOwner,
     }, //
 };
 use crate::{
@@ -148,7 +148,7 @@
 #[must_use]
 pub struct Permit {
     id: TicketId,
-    table: HostRun,
+    table: HostInstance,
 }
 
 impl Permit {
@@ -245,7 +245,7 @@
 #[derive(Debug)]
 enum Phase {
     Serving,
-    Leaving(HostRun),
+    Leaving(HostInstance),
     Exported(Arc<Handover>),
 }
 
@@ -256,7 +256,7 @@
 /// ticket that was called expired.
 #[derive(Debug)]
 pub struct TicketTable {
-    me: Owner,
+    me: TicketOwner,
     limits: TicketLimits,
     started_ms: Millis,
     now_ms: Millis,
@@ -266,14 +266,14 @@
     due: BTreeSet<(Millis, TicketId)>,
     per_caller: BTreeMap<CallerId, usize>,
     kept_bytes: Bytes,
-    imported: BTreeSet<HostRun>,
-    held: BTreeSet<HostRun>,
+    imported: BTreeSet<HostInstance>,
+    held: BTreeSet<HostInstance>,
 }
 
 impl TicketTable {
     /// An empty table of a run that starts at `now_ms`.
-    pub fn new(me: Owner, now_ms: Millis) -> Self {
-        let held = BTreeSet::from([me.run.clone()]);
+    pub fn new(me: TicketOwner, now_ms: Millis) -> Self {
+        let held = BTreeSet::from([me.instance.clone()]);
         Self {
             me,
             limits: TicketLimits::default(),
@@ -296,7 +296,7 @@
     }
 
     /// The run that this table belongs to.
-    pub fn me(&self) -> &Owner {
+    pub fn me(&self) -> &TicketOwner {
         &self.me
     }
 
@@ -325,13 +325,13 @@
 
     /// Runs whose tickets are decided here, for the heartbeat; none after the
     /// export.
-    pub fn held(&self) -> &BTreeSet<HostRun> {
+    pub fn held(&self) -> &BTreeSet<HostInstance> {
         &self.held
     }
 
     /// Whether the state of `ticket` is decided here.
     pub fn holds(&self, ticket: &Ticket) -> bool {
-        self.held.contains(&ticket.body().owner.run)
+        self.held.contains(&ticket.body().owner.instance)
     }
 
     /// Issues a ticket; `id` must be drawn at random.
@@ -446,7 +446,7 @@
         };
         entry.digest = Some(digest);
         self.kept_bytes = self.kept_bytes + self.limits.max_answer_bytes;
-        let table = self.me.run.clone();
+        let table = self.me.instance.clone();
         let permit = Permit { id, table };
         Begin::Started { permit, unsent }
     }
@@ -522,7 +522,7 @@
     /// Takes the call of `permit` out of progress, with the state `Unknown`.
     fn end(&mut self, permit: Permit) -> Result<&mut Entry, StalePermit> {
         let stale = StalePermit(permit.id);
-        if permit.table != self.me.run {
+        if permit.table != self.me.instance {
             return Err(stale);
         }
         let entry = self.entries.get_mut(&permit.id).ok_or(stale)?;
@@ -576,8 +576,8 @@
     }
 
     /// Stops issuing and starting. `successor` can be replaced until the export.
-    pub fn start_handover(&mut self, successor: HostRun) -> Result<(), HandoverError> {
-        if successor == self.me.run {
+    pub fn start_handover(&mut self, successor: HostInstance) -> Result<(), HandoverError> {
+        if successor == self.me.instance {
             return Err(HandoverError::ToItself(successor));
         }
         if let Phase::Exported(handover) = &self.phase {
@@ -611,7 +611,7 @@
         };
         let entries = std::mem::take(&mut self.entries).into_values();
         let handover = Arc::new(Handover {
-            from: self.me.run.clone(),
+            from: self.me.instance.clone(),
             to: successor,
             held: std::mem::take(&mut self.held).into_iter().collect(),
             valid_until_ms: self.now_ms + HANDOVER_VALID_MS,
@@ -635,7 +635,7 @@
         self.advance(now_ms);
         self.check_import(handover)?;
         self.imported.insert(handover.from.clone());
-        let other_runs = handover.held.iter().filter(|run| **run != self.me.run);
+        let other_runs = handover.held.iter().filter(|run| **run != self.me.instance);
         self.held.extend(other_runs.cloned());
         let mut imported = Imported::default();
         for ticket in &handover.tickets {
@@ -651,10 +651,10 @@
 
     fn check_import(&self, handover: &Handover) -> Result<(), ImportError> {
         let from = handover.from.clone();
-        if handover.to != self.me.run {
+        if handover.to != self.me.instance {
             return Err(ImportError::NotAddressed {
                 to: handover.to.clone(),
-                me: self.me.run.clone(),
+                me: self.me.instance.clone(),
             });
         }
         if self.imported.contains(&from) {
@@ -679,7 +679,7 @@
     }
 
     fn insert_handed(&mut self, ticket: &HandedTicket) {
-        let is_of_this_host = ticket.body.owner.run.host == self.me.run.host;
+        let is_of_this_host = ticket.body.owner.instance.host == self.me.instance.host;
         let state = match &ticket.state {
             HandedState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
             _ if is_of_this_host => State::Unknown,
@@ -713,17 +713,17 @@
         let entry = self.entries.get(&body.id);
         entry
             .filter(|entry| entry.body == *body)
-            .ok_or_else(|| self.not_held(&body.owner.run))
+            .ok_or_else(|| self.not_held(&body.owner.instance))
     }
 
     /// Answer for a ticket that is not in the table.
-    fn not_held(&self, owner: &HostRun) -> TicketRefusal {
+    fn not_held(&self, owner: &HostInstance) -> TicketRefusal {
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
         if self.held.contains(owner) {
             // Forgotten, or left out of a handover.
             return unknown;
         }
-        if owner.host != self.me.run.host {
+        if owner.host != self.me.instance.host {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
         // A successor of the earlier run may not have announced itself yet.
--- a/src/ticket/token.rs
+++ b/src/ticket/token.rs
@@ -71,14 +71,14 @@
 
 /// One run of one host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct HostRun {
+pub struct HostInstance {
     /// The host.
     pub host: HostId,
     /// The run; the next run of the same host has another one.
     pub incarnation: Incarnation,
 }
 
-impl fmt::Display for HostRun {
+impl fmt::Display for HostInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.host, self.incarnation)
     }
@@ -86,9 +86,9 @@
 
 /// The run of a host that owns tickets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Owner {
+pub struct TicketOwner {
     /// The run; another run of the same host is not the owner.
-    pub run: HostRun,
+    pub instance: HostInstance,
     /// Its region.
     pub region: RegionId,
     /// Its address for other hosts.
@@ -101,7 +101,7 @@
     /// Names the ticket in its owner's table.
     pub id: TicketId,
     /// The run that issued it and may run the call.
-    pub owner: Owner,
+    pub owner: TicketOwner,
     /// The caller it was issued to.
     pub caller: CallerId,
     /// The service that it may call.
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -72,12 +72,12 @@
             TicketState, //
         },
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
             Presented,
             Ticket,
             TicketError,
             TicketId,
+            TicketOwner,
             TicketSigner, //
         }, //
     },
@@ -106,7 +106,7 @@
     /// Writes and verifies tickets.
     pub signer: TicketSigner,
     /// This host.
-    pub me: Owner,
+    pub me: TicketOwner,
     /// When it started.
     pub started_ms: Millis,
     /// What requests need on their way.
@@ -235,7 +235,7 @@
         let asked = ticket.clone();
         let is_held_here = self.table.run(move |table, _| table.holds(&asked))?;
         let now_ms = clock::now();
-        let owner = ticket.body().owner.run.clone();
+        let owner = ticket.body().owner.instance.clone();
         let (holder, sighting) = self.relay.decider.query(move |gateway| {
             let holder = gateway.view().holder_of(&owner);
             let state = gateway.view().hosts.get(&holder.host);
@@ -381,7 +381,7 @@
     fn forward(
         &self,
         text: &str,
-        owner: &Owner,
+        owner: &TicketOwner,
         from: &TicketCaller,
         request: TicketRequest,
     ) -> PlainAnswer {
@@ -413,13 +413,13 @@
 
     fn ask(
         &self,
-        owner: &Owner,
+        owner: &TicketOwner,
         frame: &Frame,
         body: &[u8],
         deadline: Instant,
     ) -> Option<PlainAnswer> {
         let question = Question {
-            host: &owner.run.host,
+            host: &owner.instance.host,
             address: owner.peer_address,
             request: frame,
             body,
@@ -431,7 +431,7 @@
             .peers
             .ask(&question)
             .inspect_err(|error| {
-                tracing::debug!(host = %owner.run.host, %error, "the owner did not answer");
+                tracing::debug!(host = %owner.instance.host, %error, "the owner did not answer");
             })
             .ok()?;
         if answer.frame != Frame::TicketStatus {
@@ -441,7 +441,7 @@
     }
 
     /// Stops starting calls; the table is to go to `successor`.
-    pub fn start_handover(&self, successor: HostRun) -> bool {
+    pub fn start_handover(&self, successor: HostInstance) -> bool {
         let started = self
             .table
             .run_surely(move |table, _| table.start_handover(successor));
@@ -490,7 +490,7 @@
     }
 
     /// Runs whose tickets are decided here.
-    pub fn held_runs(&self) -> Vec<HostRun> {
+    pub fn held_runs(&self) -> Vec<HostInstance> {
         let held = self
             .table
             .run(|table, _| table.held().iter().cloned().collect());
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -52,10 +52,10 @@
             TicketTable, //
         },
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
             Ticket,
             TicketId, //
+            TicketOwner,
         }, //
     },
     types::{
@@ -308,16 +308,16 @@
 /// Whether the event was possible.
 type Step = Result<bool, Violation>;
 
-fn run_of(index: usize, incarnation: u64) -> HostRun {
-    HostRun {
+fn run_of(index: usize, incarnation: u64) -> HostInstance {
+    HostInstance {
         host: HOST_NAMES[index].parse().expect("host"),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn owner(index: usize, incarnation: u64) -> Owner {
-    Owner {
-        run: run_of(index, incarnation),
+fn owner(index: usize, incarnation: u64) -> TicketOwner {
+    TicketOwner {
+        instance: run_of(index, incarnation),
         region: "stred".parse().expect("region"),
         peer_address: ([127, 0, 0, 1], 7000 + index as u16).into(),
     }
@@ -428,7 +428,7 @@
 
     fn route(&self, host: usize, ticket: &Ticket, is_forwarded: bool) -> Route {
         let asked = &self.hosts[host];
-        let issuer = ticket.body().owner.run.clone();
+        let issuer = ticket.body().owner.instance.clone();
         let holder_index = if asked.knows_successor && issuer == run_of(OWNER, 1) {
             SUCCESSOR
         } else {
@@ -614,7 +614,7 @@
             Route::Forward(to) => {
                 let position = HOST_NAMES
                     .iter()
-                    .position(|name| *name == to.run.host.as_str());
+                    .position(|name| *name == to.instance.host.as_str());
                 let index = position.expect("a host of the model");
                 if self.hosts[index].is_up {
                     return self.ask(index, ticket, true);
@@ -719,7 +719,7 @@
             return Ok(false);
         }
         if self.model.fault == Some(Fault::ImportsForeignHandover) {
-            handover.to = receiver.table.me().run.clone();
+            handover.to = receiver.table.me().instance.clone();
         }
         let _refused = receiver.table.import(&handover, now_ms);
         Ok(true)
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -44,10 +44,10 @@
             TicketTable, //
         },
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
             Ticket,
             TicketId, //
+            TicketOwner,
         }, //
     },
     types::{
@@ -67,16 +67,16 @@
     max_kept_bytes: Bytes(25),
 };
 
-fn run(host: &str, incarnation: u64) -> HostRun {
-    HostRun {
+fn run(host: &str, incarnation: u64) -> HostInstance {
+    HostInstance {
         host: host.parse().expect("host"),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn owner(host: &str, incarnation: u64) -> Owner {
-    Owner {
-        run: run(host, incarnation),
+fn owner(host: &str, incarnation: u64) -> TicketOwner {
+    TicketOwner {
+        instance: run(host, incarnation),
         region: "stred".parse().expect("region"),
         peer_address: SocketAddr::from(([127, 0, 0, 1], 7000)),
     }
@@ -136,7 +136,7 @@
     (refusal.status(), refusal.run_state().word())
 }
 
-fn hand_over(table: &mut TicketTable, to: HostRun) -> Handover {
+fn hand_over(table: &mut TicketTable, to: HostInstance) -> Handover {
     table.start_handover(to).expect("start");
     let handover = table.export(|_| true, START_MS).expect("export");
     // Takes the form in which hosts exchange it.
@@ -474,10 +474,10 @@
 }
 
 struct Case {
-    me: Owner,
+    me: TicketOwner,
     is_held_here: bool,
     is_forwarded: bool,
-    holder: HostRun,
+    holder: HostInstance,
     sighting: Option<Sighting>,
     allowed: AllowedRegions,
     now_ms: Millis,
@@ -544,11 +544,11 @@
     });
 
     assert_eq!(held, Route::Local);
-    assert!(matches!(live, Route::Forward(to) if to.run == run("host-1", 1)));
+    assert!(matches!(live, Route::Forward(to) if to.instance == run("host-1", 1)));
     assert_eq!(unseen, Route::Forward(owner("host-1", 1)));
     assert_eq!(refused_with(forwarded).0, TicketRefusalReason::Unreachable);
     assert_eq!(refused_with(outside).0, TicketRefusalReason::Unreachable);
-    assert!(matches!(successor, Route::Forward(to) if to.run == run("host-2", 5)));
+    assert!(matches!(successor, Route::Forward(to) if to.instance == run("host-2", 5)));
 }
 
 /// Guards against a ticket that is called unknown for good too early, or never.
--- a/tests/ticket_token.rs
+++ b/tests/ticket_token.rs
@@ -19,15 +19,15 @@
             TicketTable, //
         },
         token::{
-            HostRun,
+            HostInstance,
             MAX_TICKET_TEXT_BYTES,
             MIN_KEY_BYTES,
-            Owner,
             Presented,
             TEXT_PREFIX,
             Ticket,
             TicketError,
             TicketId,
+            TicketOwner,
             TicketSigner, //
         }, //
     },
@@ -64,8 +64,8 @@
 }
 
 fn issue(caller: &str, service: &str, host: &str) -> Ticket {
-    let owner = Owner {
-        run: HostRun {
+    let owner = TicketOwner {
+        instance: HostInstance {
             host: id(host),
             incarnation: Incarnation(u64::MAX),
         },
