--- a/src/announce.rs
+++ b/src/announce.rs
@@ -114,7 +114,7 @@
             is_ready: !is_leaving && self.in_force.get().is_some() && self.contact.has_list(),
             revision,
             open_requests: u32::try_from(open_requests).unwrap_or(u32::MAX),
-            held_runs: self.tickets.held_runs(),
+            held_runs: self.tickets.owners(),
         }
     }
 }
--- a/src/host/parts.rs
+++ b/src/host/parts.rs
@@ -110,7 +110,7 @@
     keys: &HostKeys,
     relay: RelayContext,
 ) -> Result<(TicketContext, JoinHandle<()>), StartError> {
-    let me = TicketOwner {
+    let this_host = TicketOwner {
         instance: HostInstance {
             host: config.host.clone(),
             incarnation,
@@ -120,7 +120,7 @@
     };
     let signer = TicketSigner::new(&keys.cluster_key)?;
     let started_ms = clock::now();
-    let table = TicketTable::new(me.clone(), started_ms);
+    let table = TicketTable::new(this_host.clone(), started_ms);
     let (table, thread) = TableHandle::start(table).map_err(|source| StartError::Thread {
         name: "tickets",
         source,
@@ -128,7 +128,7 @@
     let context = TicketContext {
         table,
         signer,
-        me,
+        this_host,
         started_ms,
         relay,
     };
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -47,7 +47,7 @@
 impl Handover<'_> {
     /// Stops starting ticketed calls and names the host that will hold them.
     pub fn start(&self) -> Option<TicketOwner> {
-        let me = self.tickets.me.instance.clone();
+        let me = self.tickets.this_host.instance.clone();
         let chosen = self
             .tickets
             .relay
--- a/src/ticket/handover.rs
+++ b/src/ticket/handover.rs
@@ -23,7 +23,7 @@
 ///
 /// A bound is needed so that a forwarder which sees the host's next run can
 /// tell at some point that no successor will turn up; see
-/// [`OWNER_SETTLE_MS`](super::route::OWNER_SETTLE_MS).
+/// [`HANDOVER_SETTLE_MS`](super::route::HANDOVER_SETTLE_MS).
 pub const HANDOVER_VALID_MS: Millis = Millis(5_000);
 
 /// Final or resumable state of one ticket in a handover.
@@ -63,7 +63,7 @@
     /// The one run that may import it.
     pub to: HostInstance,
     /// All runs whose tickets are in here: `from` and those it had imported.
-    pub held: Vec<HostInstance>,
+    pub owners: Vec<HostInstance>,
     /// Instant from which it must not be imported.
     pub valid_until_ms: Millis,
     /// The tickets, without those whose caller's data must not reach `to`.
@@ -88,12 +88,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ImportError {
     /// It is addressed to another run.
-    #[error("handover is addressed to {to}, this is {me}")]
+    #[error("handover is addressed to {to}, this is {receiver}")]
     NotAddressed {
         /// Whom it is addressed to.
         to: HostInstance,
         /// The run that refuses it.
-        me: HostInstance,
+        receiver: HostInstance,
     },
     /// The same run's table has been imported before; nothing has changed.
     #[error("handover of {0} has already been imported")]
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -97,7 +97,7 @@
 //! [`started_count`] is zero or the drain limit is reached, [`export`] makes the
 //! message; from there on this run decides nothing. It may be sent any number
 //! of times, and `AlreadyImported` in return counts as success. The successor
-//! announces [`held`] with its heartbeats. If the message is lost, or arrives
+//! announces [`owners`] with its heartbeats. If the message is lost, or arrives
 //! later than [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets
 //! are unknown. The message must be authenticated, because an import trusts
 //! that the exporter has given up its tickets.
@@ -117,7 +117,7 @@
 //! [`finish_unknown`]: table::TicketTable::finish_unknown
 //! [`finish`]: table::TicketTable::finish
 //! [`give_up`]: table::TicketTable::give_up
-//! [`held`]: table::TicketTable::held
+//! [`owners`]: table::TicketTable::owners
 //! [`issue`]: table::TicketTable::issue
 //! [`open`]: token::TicketSigner::open
 //! [`release`]: table::TicketTable::release
--- a/src/ticket/route.rs
+++ b/src/ticket/route.rs
@@ -28,17 +28,17 @@
 /// Three times [`HANDOVER_VALID_MS`]: the handover is imported within the first
 /// part, the rest covers the successor's announcement by gossip and the
 /// difference between the clocks of two hosts.
-pub const OWNER_SETTLE_MS: Millis = Millis(3 * HANDOVER_VALID_MS.0);
+pub const HANDOVER_SETTLE_MS: Millis = Millis(3 * HANDOVER_VALID_MS.0);
 
 /// The newest news of a host, from its heartbeats or the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sighting {
+pub struct KnownHost {
     /// Its current run.
     pub incarnation: Incarnation,
     /// Instant at which this host first heard of that run.
     pub first_seen_ms: Millis,
     /// Instant at which this host last heard from that run.
-    pub last_heard_ms: Millis,
+    pub last_seen_ms: Millis,
     /// Its region.
     pub region: RegionId,
     /// Its address for other hosts.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct RouteView<'a> {
     /// This host.
-    pub me: &'a TicketOwner,
+    pub this_host: &'a TicketOwner,
     /// Instant at which this host started.
     pub started_ms: Millis,
     /// [`TicketTable::holds`](super::table::TicketTable::holds) of this host.
@@ -62,7 +62,7 @@
     /// or the last successor that announced its run.
     pub holder: &'a HostInstance,
     /// Newest news of the host of `holder`.
-    pub sighting: Option<&'a Sighting>,
+    pub known_host: Option<&'a KnownHost>,
     /// Regions that the caller's intent allows.
     pub allowed: &'a AllowedRegions,
     /// Time at this host.
@@ -85,33 +85,33 @@
     if view.is_held_here {
         return Route::Local;
     }
-    if *view.holder == view.me.instance {
+    if *view.holder == view.this_host.instance {
         // The table has been exported and its successor is not known here yet.
         return Route::Refused(TicketRefusal::leaving());
     }
-    if view.holder.host == view.me.instance.host {
+    if view.holder.host == view.this_host.instance.host {
         return Route::Refused(earlier_run(view.started_ms, view.now_ms));
     }
     if view.is_forwarded {
         // A forwarded call goes no further, even if the holder is known here.
         return Route::Refused(TicketRefusal::unreachable());
     }
-    let Some(sighting) = view.sighting else {
+    let Some(known_host) = view.known_host else {
         return route_unseen(ticket, view.holder);
     };
-    if is_superseded(ticket, sighting, view) {
+    if is_superseded(ticket, known_host, view) {
         return Route::Refused(TicketRefusal::new(TicketRefusalReason::Unknown));
     }
-    if !sighting.is_reachable {
+    if !known_host.is_reachable {
         return Route::Refused(TicketRefusal::unreachable());
     }
-    if !view.allowed.contains(&sighting.region) {
+    if !view.allowed.contains(&known_host.region) {
         return Route::Refused(TicketRefusal::unreachable());
     }
     Route::Forward(TicketOwner {
         instance: view.holder.clone(),
-        region: sighting.region.clone(),
-        peer_address: sighting.peer_address,
+        region: known_host.region.clone(),
+        peer_address: known_host.peer_address,
     })
 }
 
@@ -130,17 +130,17 @@
 /// Incarnations have no order, and the news may be older than the ticket: a
 /// ticket of a run that this host has not heard of yet must not be called
 /// unknown. In doubt the host itself is asked.
-fn is_superseded(ticket: &Ticket, sighting: &Sighting, view: &RouteView<'_>) -> bool {
-    let is_other_run = sighting.incarnation != view.holder.incarnation;
-    let is_newer = sighting.last_heard_ms >= ticket.body().issued_ms + OWNER_SETTLE_MS;
-    let is_settled = view.now_ms >= sighting.first_seen_ms + OWNER_SETTLE_MS;
+fn is_superseded(ticket: &Ticket, known_host: &KnownHost, view: &RouteView<'_>) -> bool {
+    let is_other_run = known_host.incarnation != view.holder.incarnation;
+    let is_newer = known_host.last_seen_ms >= ticket.body().issued_ms + HANDOVER_SETTLE_MS;
+    let is_settled = view.now_ms >= known_host.first_seen_ms + HANDOVER_SETTLE_MS;
     is_other_run && is_newer && is_settled
 }
 
 /// Answer of a host for a ticket of its own earlier run.
 fn earlier_run(started_ms: Millis, now_ms: Millis) -> TicketRefusal {
     let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
-    if now_ms < started_ms + OWNER_SETTLE_MS {
+    if now_ms < started_ms + HANDOVER_SETTLE_MS {
         return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
     }
     unknown
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -32,7 +32,7 @@
         TicketRefusalReason,
         UNREACHABLE_RETRY_MS, //
     },
-    route::OWNER_SETTLE_MS,
+    route::HANDOVER_SETTLE_MS,
     token::{
         HostInstance,
         Ticket,
@@ -256,7 +256,7 @@
 /// ticket that was called expired.
 #[derive(Debug)]
 pub struct TicketTable {
-    me: TicketOwner,
+    this_host: TicketOwner,
     limits: TicketLimits,
     started_ms: Millis,
     now_ms: Millis,
@@ -267,15 +267,15 @@
     per_caller: BTreeMap<CallerId, usize>,
     kept_bytes: Bytes,
     imported: BTreeSet<HostInstance>,
-    held: BTreeSet<HostInstance>,
+    owners: BTreeSet<HostInstance>,
 }
 
 impl TicketTable {
     /// An empty table of a run that starts at `now_ms`.
-    pub fn new(me: TicketOwner, now_ms: Millis) -> Self {
-        let held = BTreeSet::from([me.instance.clone()]);
+    pub fn new(this_host: TicketOwner, now_ms: Millis) -> Self {
+        let owners = BTreeSet::from([this_host.instance.clone()]);
         Self {
-            me,
+            this_host,
             limits: TicketLimits::default(),
             started_ms: now_ms,
             now_ms,
@@ -285,7 +285,7 @@
             per_caller: BTreeMap::new(),
             kept_bytes: Bytes(0),
             imported: BTreeSet::new(),
-            held,
+            owners,
         }
     }
 
@@ -296,8 +296,8 @@
     }
 
     /// The run that this table belongs to.
-    pub fn me(&self) -> &TicketOwner {
-        &self.me
+    pub fn this_host(&self) -> &TicketOwner {
+        &self.this_host
     }
 
     /// Number of tickets in the table.
@@ -325,13 +325,13 @@
 
     /// Runs whose tickets are decided here, for the heartbeat; none after the
     /// export.
-    pub fn held(&self) -> &BTreeSet<HostInstance> {
-        &self.held
+    pub fn owners(&self) -> &BTreeSet<HostInstance> {
+        &self.owners
     }
 
     /// Whether the state of `ticket` is decided here.
     pub fn holds(&self, ticket: &Ticket) -> bool {
-        self.held.contains(&ticket.body().owner.instance)
+        self.owners.contains(&ticket.body().owner.instance)
     }
 
     /// Issues a ticket; `id` must be drawn at random.
@@ -345,7 +345,7 @@
         self.check_issue(id, issue_for)?;
         let body = TicketBody {
             id,
-            owner: self.me.clone(),
+            owner: self.this_host.clone(),
             caller: issue_for.caller.clone(),
             service: issue_for.service.clone(),
             issued_ms: self.now_ms,
@@ -363,7 +363,7 @@
         if !matches!(self.phase, Phase::Serving) {
             return Err(IssueError::Leaving);
         }
-        if !issue_for.allowed.contains(&self.me.region) {
+        if !issue_for.allowed.contains(&self.this_host.region) {
             return Err(IssueError::OutsideResidency);
         }
         if self.entries.contains_key(&id) {
@@ -446,7 +446,7 @@
         };
         entry.digest = Some(digest);
         self.kept_bytes = self.kept_bytes + self.limits.max_answer_bytes;
-        let table = self.me.instance.clone();
+        let table = self.this_host.instance.clone();
         let permit = Permit { id, table };
         Begin::Started { permit, unsent }
     }
@@ -522,7 +522,7 @@
     /// Takes the call of `permit` out of progress, with the state `Unknown`.
     fn end(&mut self, permit: Permit) -> Result<&mut Entry, StalePermit> {
         let stale = StalePermit(permit.id);
-        if permit.table != self.me.instance {
+        if permit.table != self.this_host.instance {
             return Err(stale);
         }
         let entry = self.entries.get_mut(&permit.id).ok_or(stale)?;
@@ -577,7 +577,7 @@
 
     /// Stops issuing and starting. `successor` can be replaced until the export.
     pub fn start_handover(&mut self, successor: HostInstance) -> Result<(), HandoverError> {
-        if successor == self.me.instance {
+        if successor == self.this_host.instance {
             return Err(HandoverError::ToItself(successor));
         }
         if let Phase::Exported(handover) = &self.phase {
@@ -611,9 +611,9 @@
         };
         let entries = std::mem::take(&mut self.entries).into_values();
         let handover = Arc::new(Handover {
-            from: self.me.instance.clone(),
+            from: self.this_host.instance.clone(),
             to: successor,
-            held: std::mem::take(&mut self.held).into_iter().collect(),
+            owners: std::mem::take(&mut self.owners).into_iter().collect(),
             valid_until_ms: self.now_ms + HANDOVER_VALID_MS,
             tickets: entries
                 .filter(|entry| may_receive(&entry.body.caller))
@@ -635,8 +635,11 @@
         self.advance(now_ms);
         self.check_import(handover)?;
         self.imported.insert(handover.from.clone());
-        let other_runs = handover.held.iter().filter(|run| **run != self.me.instance);
-        self.held.extend(other_runs.cloned());
+        let other_runs = handover
+            .owners
+            .iter()
+            .filter(|run| **run != self.this_host.instance);
+        self.owners.extend(other_runs.cloned());
         let mut imported = Imported::default();
         for ticket in &handover.tickets {
             if self.has_room_to_import(ticket) {
@@ -651,10 +654,10 @@
 
     fn check_import(&self, handover: &Handover) -> Result<(), ImportError> {
         let from = handover.from.clone();
-        if handover.to != self.me.instance {
+        if handover.to != self.this_host.instance {
             return Err(ImportError::NotAddressed {
                 to: handover.to.clone(),
-                me: self.me.instance.clone(),
+                receiver: self.this_host.instance.clone(),
             });
         }
         if self.imported.contains(&from) {
@@ -679,7 +682,7 @@
     }
 
     fn insert_handed(&mut self, ticket: &HandedTicket) {
-        let is_of_this_host = ticket.body.owner.instance.host == self.me.instance.host;
+        let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
             HandedState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
             _ if is_of_this_host => State::Unknown,
@@ -719,15 +722,15 @@
     /// Answer for a ticket that is not in the table.
     fn not_held(&self, owner: &HostInstance) -> TicketRefusal {
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
-        if self.held.contains(owner) {
+        if self.owners.contains(owner) {
             // Forgotten, or left out of a handover.
             return unknown;
         }
-        if owner.host != self.me.instance.host {
+        if owner.host != self.this_host.instance.host {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
         // A successor of the earlier run may not have announced itself yet.
-        if self.now_ms < self.started_ms + OWNER_SETTLE_MS {
+        if self.now_ms < self.started_ms + HANDOVER_SETTLE_MS {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
         unknown
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -59,9 +59,9 @@
         },
         refusal::TicketRefusal,
         route::{
+            KnownHost,
             Route,
             RouteView,
-            Sighting,
             route, //
         },
         table::{
@@ -106,7 +106,7 @@
     /// Writes and verifies tickets.
     pub signer: TicketSigner,
     /// This host.
-    pub me: TicketOwner,
+    pub this_host: TicketOwner,
     /// When it started.
     pub started_ms: Millis,
     /// What requests need on their way.
@@ -236,26 +236,26 @@
         let is_held_here = self.table.run(move |table, _| table.holds(&asked))?;
         let now_ms = clock::now();
         let owner = ticket.body().owner.instance.clone();
-        let (holder, sighting) = self.relay.decider.query(move |gateway| {
+        let (holder, known_host) = self.relay.decider.query(move |gateway| {
             let holder = gateway.view().holder_of(&owner);
             let state = gateway.view().hosts.get(&holder.host);
-            let sighting = state.map(|state| Sighting {
+            let known_host = state.map(|state| KnownHost {
                 incarnation: state.heartbeat.incarnation,
                 first_seen_ms: state.run_since_ms,
-                last_heard_ms: state.heard_ms,
+                last_seen_ms: state.heard_ms,
                 region: state.heartbeat.region.clone(),
                 peer_address: state.heartbeat.peer_address,
                 is_reachable: state.is_live(now_ms, gateway.policy()),
             });
-            (holder, sighting)
+            (holder, known_host)
         })?;
         let view = RouteView {
-            me: &self.me,
+            this_host: &self.this_host,
             started_ms: self.started_ms,
             is_held_here,
             is_forwarded,
             holder: &holder,
-            sighting: sighting.as_ref(),
+            known_host: known_host.as_ref(),
             allowed: &from.allowed,
             now_ms,
         };
@@ -490,11 +490,11 @@
     }
 
     /// Runs whose tickets are decided here.
-    pub fn held_runs(&self) -> Vec<HostInstance> {
-        let held = self
+    pub fn owners(&self) -> Vec<HostInstance> {
+        let owners = self
             .table
-            .run(|table, _| table.held().iter().cloned().collect());
-        held.unwrap_or_default()
+            .run(|table, _| table.owners().iter().cloned().collect());
+        owners.unwrap_or_default()
     }
 }
 
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -38,9 +38,9 @@
             TicketRefusalReason, //
         },
         route::{
+            KnownHost,
             Route,
             RouteView,
-            Sighting,
             route, //
         },
         table::{
@@ -439,21 +439,21 @@
             _ => issuer,
         };
         let seen = &asked.seen[holder_index];
-        let sighting = Sighting {
+        let known_host = KnownHost {
             incarnation: Incarnation(seen.incarnation),
             first_seen_ms: Millis(seen.first_ms),
-            last_heard_ms: Millis(seen.last_ms),
+            last_seen_ms: Millis(seen.last_ms),
             region: "stred".parse().expect("region"),
             peer_address: owner(holder_index, 1).peer_address,
             is_reachable: self.hosts[holder_index].is_up,
         };
         let view = RouteView {
-            me: asked.table.me(),
+            this_host: asked.table.this_host(),
             started_ms: Millis(asked.started_ms),
             is_held_here: asked.table.holds(ticket),
             is_forwarded,
             holder: &holder,
-            sighting: Some(&sighting),
+            known_host: Some(&known_host),
             allowed: &allowed(),
             now_ms: Millis(self.now_ms()),
         };
@@ -719,7 +719,7 @@
             return Ok(false);
         }
         if self.model.fault == Some(Fault::ImportsForeignHandover) {
-            handover.to = receiver.table.me().instance.clone();
+            handover.to = receiver.table.this_host().instance.clone();
         }
         let _refused = receiver.table.import(&handover, now_ms);
         Ok(true)
@@ -759,7 +759,7 @@
         let successor_holds = self.hosts[SUCCESSOR].is_up
             && self.hosts[SUCCESSOR]
                 .table
-                .held()
+                .owners()
                 .contains(&run_of(OWNER, 1));
         let incarnations = HOSTS.map(|other| self.hosts[other].incarnation);
         let is_up = HOSTS.map(|other| self.hosts[other].is_up);
@@ -1055,7 +1055,7 @@
             coverage.not_run += u32::from(told.not_run);
             coverage.unknown_for_good += u32::from(told.unknown_for_good);
         }
-        let is_imported = world.hosts[SUCCESSOR].table.held().len() > 1;
+        let is_imported = world.hosts[SUCCESSOR].table.owners().len() > 1;
         coverage.imports += u32::from(is_imported);
         Ok(())
     });
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -28,10 +28,10 @@
             TicketRefusalReason, //
         },
         route::{
-            OWNER_SETTLE_MS,
+            HANDOVER_SETTLE_MS,
+            KnownHost,
             Route,
             RouteView,
-            Sighting,
             route, //
         },
         table::{
@@ -383,7 +383,7 @@
     assert_eq!(new.state(&started, START_MS), Ok(TicketState::Unknown));
     let left_out = new.state(&foreign, START_MS).expect_err("left out");
     assert_eq!(left_out.reason, TicketRefusalReason::Unknown);
-    let settled_ms = START_MS + OWNER_SETTLE_MS;
+    let settled_ms = START_MS + HANDOVER_SETTLE_MS;
     let exported = refusal(begin_at(&mut old, &foreign, settled_ms));
     assert_eq!(exported.reason, TicketRefusalReason::Leaving);
     assert!(!old.holds(&finished) && new.holds(&finished));
@@ -459,7 +459,7 @@
     let mut restarted = table("host-1", 2);
 
     let before = restarted.state(&issued, START_MS).expect_err("not held");
-    let settled_ms = START_MS + OWNER_SETTLE_MS;
+    let settled_ms = START_MS + HANDOVER_SETTLE_MS;
     restarted
         .import(&to_restarted, START_MS)
         .expect("import in time");
@@ -470,31 +470,31 @@
     assert_eq!(state, Ok(TicketState::Unknown));
     let replay = begin_at(&mut restarted, &finished, settled_ms);
     assert!(matches!(replay, Begin::Replay(_)));
-    assert_eq!(restarted.held().len(), 3);
+    assert_eq!(restarted.owners().len(), 3);
 }
 
 struct Case {
-    me: TicketOwner,
+    this_host: TicketOwner,
     is_held_here: bool,
     is_forwarded: bool,
     holder: HostInstance,
-    sighting: Option<Sighting>,
+    known_host: Option<KnownHost>,
     allowed: AllowedRegions,
     now_ms: Millis,
 }
 
 /// A host that hears from the owner and asks long after the ticket's issue.
 fn case() -> Case {
-    let late_ms = START_MS + OWNER_SETTLE_MS + OWNER_SETTLE_MS;
+    let late_ms = START_MS + HANDOVER_SETTLE_MS + HANDOVER_SETTLE_MS;
     Case {
-        me: owner("host-3", 9),
+        this_host: owner("host-3", 9),
         is_held_here: false,
         is_forwarded: false,
         holder: run("host-1", 1),
-        sighting: Some(Sighting {
+        known_host: Some(KnownHost {
             incarnation: Incarnation(1),
             first_seen_ms: START_MS,
-            last_heard_ms: late_ms,
+            last_seen_ms: late_ms,
             region: "stred".parse().expect("region"),
             peer_address: SocketAddr::from(([127, 0, 0, 1], 7001)),
             is_reachable: true,
@@ -504,19 +504,19 @@
     }
 }
 
-fn route_with(change: fn(&mut Case, &mut Sighting)) -> Route {
+fn route_with(change: fn(&mut Case, &mut KnownHost)) -> Route {
     let ticket = issue(&mut table("host-1", 1), 1);
     let mut case = case();
-    let mut sighting = case.sighting.clone().expect("sighting");
-    change(&mut case, &mut sighting);
-    let sighting = case.sighting.as_ref().map(|_| sighting);
+    let mut known_host = case.known_host.clone().expect("a known host");
+    change(&mut case, &mut known_host);
+    let known_host = case.known_host.as_ref().map(|_| known_host);
     let view = RouteView {
-        me: &case.me,
+        this_host: &case.this_host,
         started_ms: START_MS,
         is_held_here: case.is_held_here,
         is_forwarded: case.is_forwarded,
         holder: &case.holder,
-        sighting: sighting.as_ref(),
+        known_host: known_host.as_ref(),
         allowed: &case.allowed,
         now_ms: case.now_ms,
     };
@@ -535,12 +535,12 @@
 fn a_ticket_goes_to_its_holder_and_no_further() {
     let held = route_with(|case, _| case.is_held_here = true);
     let live = route_with(|_, _| {});
-    let unseen = route_with(|case, _| case.sighting = None);
+    let unseen = route_with(|case, _| case.known_host = None);
     let forwarded = route_with(|case, _| case.is_forwarded = true);
-    let outside = route_with(|_, sighting| sighting.region = "zapad".parse().expect("region"));
-    let successor = route_with(|case, sighting| {
+    let outside = route_with(|_, known_host| known_host.region = "zapad".parse().expect("region"));
+    let successor = route_with(|case, known_host| {
         case.holder = run("host-2", 5);
-        sighting.incarnation = Incarnation(5);
+        known_host.incarnation = Incarnation(5);
     });
 
     assert_eq!(held, Route::Local);
@@ -554,22 +554,22 @@
 /// Guards against a ticket that is called unknown for good too early, or never.
 #[test]
 fn only_certain_news_of_another_run_is_final() {
-    let silent = route_with(|_, sighting| sighting.is_reachable = false);
-    let other_run = route_with(|_, sighting| sighting.incarnation = Incarnation(2));
-    let news_older_than_ticket = route_with(|_, sighting| {
-        sighting.incarnation = Incarnation(2);
-        sighting.last_heard_ms = START_MS;
+    let silent = route_with(|_, known_host| known_host.is_reachable = false);
+    let other_run = route_with(|_, known_host| known_host.incarnation = Incarnation(2));
+    let news_older_than_ticket = route_with(|_, known_host| {
+        known_host.incarnation = Incarnation(2);
+        known_host.last_seen_ms = START_MS;
     });
-    let just_restarted = route_with(|case, sighting| {
-        sighting.incarnation = Incarnation(2);
-        sighting.first_seen_ms = case.now_ms;
+    let just_restarted = route_with(|case, known_host| {
+        known_host.incarnation = Incarnation(2);
+        known_host.first_seen_ms = case.now_ms;
     });
     let own_just_started = route_with(|case, _| {
-        case.me = owner("host-1", 2);
+        case.this_host = owner("host-1", 2);
         case.now_ms = START_MS;
     });
-    let own_earlier_run = route_with(|case, _| case.me = owner("host-1", 2));
-    let own_after_export = route_with(|case, _| case.me = owner("host-1", 1));
+    let own_earlier_run = route_with(|case, _| case.this_host = owner("host-1", 2));
+    let own_after_export = route_with(|case, _| case.this_host = owner("host-1", 1));
 
     assert!(refused_with(silent).1.is_some());
     let final_unknown = (TicketRefusalReason::Unknown, None);
