--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -130,16 +130,16 @@
         },
         table::{
             Begin,
-            IssueFor,
+            IssueRequest,
             TicketLimits,
             TicketTable, //
         },
         token::{
             HostInstance,
-            Presented,
             TicketId,
             TicketOwner,
             TicketSigner, //
+            VerifyContext,
         }, //
     },
     types::{
@@ -1216,7 +1216,7 @@
     let mut table = empty_table(tickets);
     let allowed = AllowedRegions::new(&caller_intent());
     let (caller, service) = (id(&caller_name(0)), id("orders"));
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &caller,
         service: &service,
         allowed: &allowed,
@@ -1224,7 +1224,7 @@
     for number in 0..tickets {
         let ticket = TicketId(RequestId(number as u128));
         // The limits above leave room for all of them.
-        let _ = table.issue(ticket, &issue_for, START_MS);
+        let _ = table.issue(ticket, &issue_request, START_MS);
     }
     table
 }
@@ -1234,12 +1234,12 @@
     let signer = TicketSigner::new(b"a key of thirty-two bytes or more")?;
     let allowed = AllowedRegions::new(&caller_intent());
     let (caller, service) = (id(&caller_name(0)), id("orders"));
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &caller,
         service: &service,
         allowed: &allowed,
     };
-    let presented = Presented {
+    let context = VerifyContext {
         caller: &caller,
         service: Some(&service),
         allowed: &allowed,
@@ -1254,10 +1254,10 @@
         let timer = CpuTimer::start();
         for number in 0..tickets {
             let ticket = TicketId(RequestId(number as u128));
-            let ticket = table.issue(ticket, &issue_for, START_MS)?;
+            let ticket = table.issue(ticket, &issue_request, START_MS)?;
             let text = signer.encode(&ticket)?;
             bytes += text.len();
-            let ticket = signer.open(&text, &presented)?;
+            let ticket = signer.verify(&text, &context)?;
             let begun = table.begin(&ticket, digest, Unsent::new(), START_MS);
             let Begin::Started { permit, unsent } = begun else {
                 anyhow::bail!("ticket {number} did not start");
--- a/src/ticket/handover.rs
+++ b/src/ticket/handover.rs
@@ -29,7 +29,7 @@
 /// Final or resumable state of one ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HandedState {
+pub enum HandoverState {
     /// Not started; the successor may run it.
     Issued,
     /// Ran to its end; the answer if it is still kept.
@@ -42,13 +42,13 @@
 
 /// One ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedTicket {
+pub struct HandoverTicket {
     /// What the ticket says.
     pub body: TicketBody,
     /// The call it is bound to, once one has begun.
     pub digest: Option<CallDigest>,
     /// How far it has come.
-    pub state: HandedState,
+    pub state: HandoverState,
 }
 
 /// The whole table of one run, addressed to one other run.
@@ -67,7 +67,7 @@
     /// Instant from which it must not be imported.
     pub valid_until_ms: Millis,
     /// The tickets, without those whose caller's data must not reach `to`.
-    pub tickets: Vec<HandedTicket>,
+    pub tickets: Vec<HandoverTicket>,
 }
 
 /// Why a table cannot be handed over.
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -33,7 +33,7 @@
 //! 2. Without a ticket, [`issue`] one and answer
 //!    [`TicketRefusal::ticket_required`] with it in the field
 //!    `Idempotency-Key` and in the body, or [`TicketRefusal::cannot_issue`].
-//! 3. With one, [`open`] it; on failure answer [`TicketError::status`] and
+//! 3. With one, [`verify`] it; on failure answer [`TicketError::status`] and
 //!    [`TicketError::run_state`]. A key that is no ticket is 428 as well and
 //!    gets a fresh ticket.
 //! 4. Ask [`route`]. It forwards to the run that holds the ticket or says why
@@ -88,7 +88,7 @@
 //! The call with another digest is not run, yet it is not called `not_run`: a
 //! caller that writes its body anew for a repeat would take that for the fate
 //! of its first call. `GET /v1/tickets/TICKET` answers 200 with
-//! [`TicketState::word`](table::TicketState::word), `DELETE` answers 200
+//! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` answers 200
 //! `not_run` if [`void`] succeeds.
 //!
 //! # Leaving
@@ -119,7 +119,7 @@
 //! [`give_up`]: table::TicketTable::give_up
 //! [`owners`]: table::TicketTable::owners
 //! [`issue`]: table::TicketTable::issue
-//! [`open`]: token::TicketSigner::open
+//! [`verify`]: token::TicketSigner::verify
 //! [`release`]: table::TicketTable::release
 //! [`route`]: route::route
 //! [`start_handover`]: table::TicketTable::start_handover
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -18,10 +18,10 @@
     },
     handover::{
         HANDOVER_VALID_MS,
-        HandedState,
-        HandedTicket,
         Handover,
         HandoverError,
+        HandoverState,
+        HandoverTicket,
         ImportError,
         Imported, //
     },
@@ -84,7 +84,7 @@
 
 /// Whom a ticket is issued to and for what.
 #[derive(Debug, Clone)]
-pub struct IssueFor<'a> {
+pub struct IssueRequest<'a> {
     /// The authenticated caller.
     pub caller: &'a CallerId,
     /// The service that it will call.
@@ -198,7 +198,7 @@
 
 impl TicketState {
     /// The state as a word for callers.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Issued => "issued",
             Self::Started => "started",
@@ -338,16 +338,16 @@
     pub fn issue(
         &mut self,
         id: TicketId,
-        issue_for: &IssueFor<'_>,
+        issue_request: &IssueRequest<'_>,
         now_ms: Millis,
     ) -> Result<Ticket, IssueError> {
         self.advance(now_ms);
-        self.check_issue(id, issue_for)?;
+        self.check_issue(id, issue_request)?;
         let body = TicketBody {
             id,
             owner: self.this_host.clone(),
-            caller: issue_for.caller.clone(),
-            service: issue_for.service.clone(),
+            caller: issue_request.caller.clone(),
+            service: issue_request.service.clone(),
             issued_ms: self.now_ms,
             expires_ms: self.now_ms + self.limits.lifetime_ms,
         };
@@ -359,11 +359,15 @@
         Ok(Ticket::new(body))
     }
 
-    fn check_issue(&self, id: TicketId, issue_for: &IssueFor<'_>) -> Result<(), IssueError> {
+    fn check_issue(
+        &self,
+        id: TicketId,
+        issue_request: &IssueRequest<'_>,
+    ) -> Result<(), IssueError> {
         if !matches!(self.phase, Phase::Serving) {
             return Err(IssueError::Leaving);
         }
-        if !issue_for.allowed.contains(&self.this_host.region) {
+        if !issue_request.allowed.contains(&self.this_host.region) {
             return Err(IssueError::OutsideResidency);
         }
         if self.entries.contains_key(&id) {
@@ -373,7 +377,7 @@
         if self.entries.len() >= self.limits.max_tickets {
             return Err(IssueError::Full { retry_after_ms });
         }
-        let of_caller = self.per_caller.get(issue_for.caller).copied();
+        let of_caller = self.per_caller.get(issue_request.caller).copied();
         if of_caller.unwrap_or(0) >= self.limits.max_tickets_per_caller {
             return Err(IssueError::CallerFull { retry_after_ms });
         }
@@ -676,20 +680,20 @@
     }
 
     /// Twice the bound, so that a full table can be handed to a full table.
-    fn has_room_to_import(&self, ticket: &HandedTicket) -> bool {
+    fn has_room_to_import(&self, ticket: &HandoverTicket) -> bool {
         let has_room = self.entries.len() < self.limits.max_tickets.saturating_mul(2);
         has_room && !self.entries.contains_key(&ticket.body.id)
     }
 
-    fn insert_handed(&mut self, ticket: &HandedTicket) {
+    fn insert_handed(&mut self, ticket: &HandoverTicket) {
         let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandedState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
+            HandoverState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
             _ if is_of_this_host => State::Unknown,
             // The exporter has given up its own proof with the export.
-            HandedState::Issued => State::Issued(Unsent::new()),
-            HandedState::Closed(reason) => State::Closed(Closed::new(*reason, Unsent::new())),
-            HandedState::Unknown => State::Unknown,
+            HandoverState::Issued => State::Issued(Unsent::new()),
+            HandoverState::Closed(reason) => State::Closed(Closed::new(*reason, Unsent::new())),
+            HandoverState::Unknown => State::Unknown,
         };
         self.insert(Entry {
             body: ticket.body.clone(),
@@ -825,14 +829,14 @@
     }
 }
 
-fn hand_over(entry: Entry) -> HandedTicket {
+fn hand_over(entry: Entry) -> HandoverTicket {
     let state = match entry.state {
-        State::Issued(_) => HandedState::Issued,
-        State::Started | State::Unknown => HandedState::Unknown,
-        State::Finished(answer) => HandedState::Finished(answer.as_deref().cloned()),
-        State::Closed(closed) => HandedState::Closed(closed.reason),
+        State::Issued(_) => HandoverState::Issued,
+        State::Started | State::Unknown => HandoverState::Unknown,
+        State::Finished(answer) => HandoverState::Finished(answer.as_deref().cloned()),
+        State::Closed(closed) => HandoverState::Closed(closed.reason),
     };
-    HandedTicket {
+    HandoverTicket {
         body: entry.body,
         digest: entry.digest,
         state,
--- a/src/ticket/token.rs
+++ b/src/ticket/token.rs
@@ -130,7 +130,7 @@
 
 /// Who presents a ticket and for what.
 #[derive(Debug, Clone)]
-pub struct Presented<'a> {
+pub struct VerifyContext<'a> {
     /// The authenticated caller.
     pub caller: &'a CallerId,
     /// The service of the call; `None` when only the state is asked for.
@@ -228,23 +228,23 @@
         Ok(text)
     }
 
-    /// Verifies a text and that the caller may use it as presented.
+    /// Verifies a text and that the caller may use it as context.
     ///
     /// Between its expiry and the end of [`STATE_RETENTION_MS`] a ticket is
     /// still accepted here, because its owner may know how its call ended.
-    pub fn open(&self, text: &str, presented: &Presented<'_>) -> Result<Ticket, TicketError> {
+    pub fn verify(&self, text: &str, context: &VerifyContext<'_>) -> Result<Ticket, TicketError> {
         let ticket = self.authenticate(text)?;
         let body = ticket.body();
-        if body.caller != *presented.caller {
+        if body.caller != *context.caller {
             return Err(TicketError::WrongCaller);
         }
-        if presented.service.is_some_and(|id| *id != body.service) {
+        if context.service.is_some_and(|id| *id != body.service) {
             return Err(TicketError::WrongService);
         }
-        if !presented.allowed.contains(&body.owner.region) {
+        if !context.allowed.contains(&body.owner.region) {
             return Err(TicketError::OutsideResidency);
         }
-        if presented.now_ms >= body.expires_ms + STATE_RETENTION_MS {
+        if context.now_ms >= body.expires_ms + STATE_RETENTION_MS {
             return Err(TicketError::Expired);
         }
         Ok(ticket)
--- a/src/tickets.rs
+++ b/src/tickets.rs
@@ -67,18 +67,18 @@
         table::{
             Begin,
             IssueError,
-            IssueFor,
+            IssueRequest,
             Permit,
             TicketState, //
         },
         token::{
             HostInstance,
-            Presented,
             Ticket,
             TicketError,
             TicketId,
             TicketOwner,
             TicketSigner, //
+            VerifyContext,
         }, //
     },
     ticket_thread::TableHandle,
@@ -139,12 +139,12 @@
         let (to, service) = (to.clone(), service.clone());
         let issued = self.table.run(move |table, now_ms| {
             let id = TicketId(RequestId(rand::rng().random()));
-            let issue_for = IssueFor {
+            let issue_request = IssueRequest {
                 caller: &to.caller,
                 service: &service,
                 allowed: &to.allowed,
             };
-            table.issue(id, &issue_for, now_ms)
+            table.issue(id, &issue_request, now_ms)
         });
         let busy = IssueError::Full {
             retry_after_ms: SHED_RETRY_AFTER_MS,
@@ -175,7 +175,7 @@
         service: Option<&ServiceId>,
         request: TicketRequest,
     ) -> PlainAnswer {
-        let ticket = match (self.open(text, from, service), service) {
+        let ticket = match (self.verify(text, from, service), service) {
             (Ok(ticket), _) => ticket,
             // Nothing ever ran under a key that is no ticket.
             (Err(TicketError::Malformed), Some(service)) => {
@@ -198,7 +198,7 @@
         from: &TicketCaller,
         request: TicketRequest,
     ) -> PlainAnswer {
-        let ticket = match self.open(text, from, None) {
+        let ticket = match self.verify(text, from, None) {
             Ok(ticket) => ticket,
             Err(error) => return PlainAnswer::from_error(&unusable(error)),
         };
@@ -211,19 +211,19 @@
         }
     }
 
-    fn open(
+    fn verify(
         &self,
         text: &str,
         from: &TicketCaller,
         service: Option<&ServiceId>,
     ) -> Result<Ticket, TicketError> {
-        let presented = Presented {
+        let context = VerifyContext {
             caller: &from.caller,
             service,
             allowed: &from.allowed,
             now_ms: clock::now(),
         };
-        self.signer.open(text, &presented)
+        self.signer.verify(text, &context)
     }
 
     fn route(
@@ -506,7 +506,10 @@
             RunState::Unknown.to_string()
         }
     };
-    PlainAnswer::json(200, &json!({"state": state.word(), "run_state": run_state}))
+    PlainAnswer::json(
+        200,
+        &json!({"state": state.as_str(), "run_state": run_state}),
+    )
 }
 
 fn unusable(error: TicketError) -> ErrorAnswer {
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -30,8 +30,8 @@
             KeptAnswer, //
         },
         handover::{
-            HandedState,
             Handover, //
+            HandoverState,
         },
         refusal::{
             TicketRefusal,
@@ -45,7 +45,7 @@
         },
         table::{
             Begin,
-            IssueFor,
+            IssueRequest,
             Permit,
             TicketLimits,
             TicketState,
@@ -697,7 +697,7 @@
             self.hosts[OWNER].table = Host::new(OWNER, 1, 0).table;
             for handed in &handover.tickets {
                 let ticket = handed.body.id.0.0 as usize;
-                if handed.state == HandedState::Issued {
+                if handed.state == HandoverState::Issued {
                     let issued_ms = Millis(self.told[ticket].issued_ms);
                     let table = &mut self.hosts[OWNER].table;
                     self.tickets[ticket] = issue_at(table, ticket, issued_ms);
@@ -801,13 +801,13 @@
 }
 
 fn issue_at(table: &mut TicketTable, ticket: usize, now_ms: Millis) -> Option<Ticket> {
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &"drevoton".parse().expect("caller"),
         service: &"orders".parse().expect("service"),
         allowed: &allowed(),
     };
     let id = TicketId(RequestId(ticket as u128));
-    table.issue(id, &issue_for, now_ms).ok()
+    table.issue(id, &issue_request, now_ms).ok()
 }
 
 /// A state to expand: the events that lead to it.
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -37,7 +37,7 @@
         table::{
             Begin,
             IssueError,
-            IssueFor,
+            IssueRequest,
             Permit,
             TicketLimits,
             TicketState,
@@ -91,12 +91,12 @@
 }
 
 fn issue_to(table: &mut TicketTable, id: u128, caller: &str) -> Result<Ticket, IssueError> {
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &caller.parse().expect("caller"),
         service: &"orders".parse().expect("service"),
         allowed: &regions(&["stred"]),
     };
-    table.issue(TicketId(RequestId(id)), &issue_for, START_MS)
+    table.issue(TicketId(RequestId(id)), &issue_request, START_MS)
 }
 
 fn issue(table: &mut TicketTable, id: u128) -> Ticket {
@@ -216,7 +216,7 @@
     let again = refusal(begin_at(&mut table, &ticket, START_MS));
 
     assert_eq!(before, Ok(TicketState::Issued));
-    assert_eq!(at.expect("held").word(), "expired");
+    assert_eq!(at.expect("decided here").as_str(), "expired");
     assert_eq!(status_and_word(&again), (410, RunStateWord::NotRun));
 }
 
@@ -342,13 +342,13 @@
 #[test]
 fn no_ticket_is_issued_outside_the_regions_of_the_caller() {
     let mut table = table("host-1", 1);
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &"drevoton".parse().expect("caller"),
         service: &"orders".parse().expect("service"),
         allowed: &regions(&["zapad"]),
     };
 
-    let issued = table.issue(TicketId::default(), &issue_for, START_MS);
+    let issued = table.issue(TicketId::default(), &issue_request, START_MS);
 
     assert_eq!(issued, Err(IssueError::OutsideResidency));
 }
@@ -417,8 +417,8 @@
     };
     assert_eq!(first, Ok(one));
     assert_eq!(second, Err(ImportError::AlreadyImported(run("host-1", 1))));
-    let state = new.state(&ticket, START_MS).expect("held");
-    assert_eq!(state.word(), "voided");
+    let state = new.state(&ticket, START_MS).expect("decided here");
+    assert_eq!(state.as_str(), "voided");
 }
 
 /// Guards against handovers that fill the memory of the successor.
--- a/tests/ticket_token.rs
+++ b/tests/ticket_token.rs
@@ -15,20 +15,20 @@
     ticket::{
         STATE_RETENTION_MS,
         table::{
-            IssueFor,
+            IssueRequest,
             TicketTable, //
         },
         token::{
             HostInstance,
             MAX_TICKET_TEXT_BYTES,
             MIN_KEY_BYTES,
-            Presented,
             TEXT_PREFIX,
             Ticket,
             TicketError,
             TicketId,
             TicketOwner,
             TicketSigner, //
+            VerifyContext,
         }, //
     },
     types::{
@@ -73,24 +73,24 @@
         peer_address: "[2001:db8::ffff:1]:65535".parse().expect("address"),
     };
     let mut table = TicketTable::new(owner, NOW_MS);
-    let issue_for = IssueFor {
+    let issue_request = IssueRequest {
         caller: &id(caller),
         service: &id(service),
         allowed: &regions(&["stred"]),
     };
     table
-        .issue(TicketId(RequestId(u128::MAX)), &issue_for, NOW_MS)
+        .issue(TicketId(RequestId(u128::MAX)), &issue_request, NOW_MS)
         .expect("ticket")
 }
 
-struct Holder {
+struct Presenter {
     caller: CallerId,
     service: ServiceId,
     allowed: AllowedRegions,
     now_ms: Millis,
 }
 
-impl Holder {
+impl Presenter {
     fn new() -> Self {
         Self {
             caller: id("drevoton"),
@@ -100,14 +100,14 @@
         }
     }
 
-    fn open(&self, text: &str) -> Result<Ticket, TicketError> {
-        let presented = Presented {
+    fn verify(&self, text: &str) -> Result<Ticket, TicketError> {
+        let context = VerifyContext {
             caller: &self.caller,
             service: Some(&self.service),
             allowed: &self.allowed,
             now_ms: self.now_ms,
         };
-        signer().open(text, &presented)
+        signer().verify(text, &context)
     }
 }
 
@@ -124,7 +124,7 @@
 fn a_ticket_is_verified_by_another_signer_with_the_same_key() {
     let ticket = issue("drevoton", "orders", "host-1");
 
-    let opened = Holder::new().open(&text()).expect("authentic");
+    let opened = Presenter::new().verify(&text()).expect("authentic");
 
     assert_eq!(opened, ticket);
 }
@@ -144,19 +144,23 @@
 #[test]
 fn a_ticket_of_another_caller_service_region_or_time_is_refused() {
     let text = text();
-    let expires_ms = Holder::new().open(&text).expect("open").body().expires_ms;
+    let expires_ms = Presenter::new()
+        .verify(&text)
+        .expect("open")
+        .body()
+        .expires_ms;
     let last_ms = expires_ms + STATE_RETENTION_MS;
-    let with = |change: fn(&mut Holder, Millis)| {
-        let mut holder = Holder::new();
-        change(&mut holder, last_ms);
-        holder.open(&text).map(|_| ())
+    let with = |change: fn(&mut Presenter, Millis)| {
+        let mut presenter = Presenter::new();
+        change(&mut presenter, last_ms);
+        presenter.verify(&text).map(|_| ())
     };
 
-    let caller = with(|holder, _| holder.caller = id("marcos"));
-    let service = with(|holder, _| holder.service = id("other"));
-    let region = with(|holder, _| holder.allowed = regions(&["zapad"]));
-    let just_kept = with(|holder, last_ms| holder.now_ms = last_ms - Millis(1));
-    let expired = with(|holder, last_ms| holder.now_ms = last_ms);
+    let caller = with(|presenter, _| presenter.caller = id("marcos"));
+    let service = with(|presenter, _| presenter.service = id("other"));
+    let region = with(|presenter, _| presenter.allowed = regions(&["zapad"]));
+    let just_kept = with(|presenter, last_ms| presenter.now_ms = last_ms - Millis(1));
+    let expired = with(|presenter, last_ms| presenter.now_ms = last_ms);
 
     assert_eq!(caller, Err(TicketError::WrongCaller));
     assert_eq!(service, Err(TicketError::WrongService));
@@ -169,8 +173,8 @@
 fn a_key_of_the_caller_is_no_ticket_and_nothing_ran_under_it() {
     let uuid = "6f1c0b9e-4d1f-4e0a-9a55-0c1de1b2a3f4";
 
-    let error = Holder::new().open(uuid).expect_err("no ticket");
-    let damaged = Holder::new().open(&text()[..40]).expect_err("damaged");
+    let error = Presenter::new().verify(uuid).expect_err("no ticket");
+    let damaged = Presenter::new().verify(&text()[..40]).expect_err("damaged");
 
     assert_eq!((error, error.status()), (TicketError::Malformed, 428));
     assert_eq!(error.run_state(Unsent::new()).word(), RunStateWord::NotRun);
@@ -184,7 +188,7 @@
     let ticket = issue("drevoton", "orders", "host-1");
     let forged = other.encode(&ticket).expect("text");
 
-    let opened = Holder::new().open(&forged);
+    let opened = Presenter::new().verify(&forged);
     let short = TicketSigner::new(&KEY[1..]);
 
     assert_eq!(opened, Err(TicketError::Forged));
@@ -201,7 +205,7 @@
     bytes.extend_from_slice(&mac.finalize().into_bytes()[..16]);
     let text = format!("{TEXT_PREFIX}{}", URL_SAFE_NO_PAD.encode(bytes));
 
-    let opened = Holder::new().open(&text);
+    let opened = Presenter::new().verify(&text);
 
     assert_eq!(opened, Err(TicketError::Forged));
 }
@@ -216,7 +220,7 @@
         prop_assume!(bytes[position] != byte);
         bytes[position] = byte;
 
-        let opened = Holder::new().open(&String::from_utf8_lossy(&bytes));
+        let opened = Presenter::new().verify(&String::from_utf8_lossy(&bytes));
 
         prop_assert!(matches!(opened, Err(TicketError::Malformed | TicketError::Forged)));
     }
@@ -224,6 +228,6 @@
     /// Guards against a panic on input from callers.
     #[test]
     fn any_text_is_refused(text in ".{0,700}") {
-        prop_assert!(Holder::new().open(&text).is_err());
+        prop_assert!(Presenter::new().verify(&text).is_err());
     }
 }
