--- a/src/announce.rs
+++ b/src/announce.rs
@@ -36,7 +36,7 @@
         self,
         Poller, //
     },
-    tickets::TicketContext,
+    ticketed_calls::TicketContext,
     types::{
         HostId,
         Incarnation, //
--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -60,7 +60,7 @@
         RelayContext, //
     },
     sink::AnswerSink,
-    tickets::{
+    ticketed_calls::{
         TICKET_FIELD,
         TicketCaller,
         TicketContext,
--- a/src/caller/routes.rs
+++ b/src/caller/routes.rs
@@ -46,7 +46,7 @@
         Payload, //
     },
     ticket::call::CallDigest,
-    tickets::{
+    ticketed_calls::{
         TICKET_FIELD,
         TicketCaller,
         TicketRequest, //
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -105,7 +105,7 @@
     },
     status,
     ticket::token::KeyError,
-    tickets::TicketContext,
+    ticketed_calls::TicketContext,
     types::{
         Incarnation,
         RegionId, //
--- a/src/host/parts.rs
+++ b/src/host/parts.rs
@@ -62,8 +62,8 @@
             TicketSigner, //
         }, //
     },
-    ticket_thread::TableHandle,
-    tickets::TicketContext,
+    ticket_thread::TicketTableHandle,
+    ticketed_calls::TicketContext,
     types::{
         Incarnation,
         Millis,
@@ -121,7 +121,7 @@
     let signer = TicketSigner::new(&keys.cluster_key)?;
     let started_ms = clock::now();
     let table = TicketTable::new(this_host.clone(), started_ms);
-    let (table, thread) = TableHandle::start(table).map_err(|source| StartError::Thread {
+    let (table, thread) = TicketTableHandle::start(table).map_err(|source| StartError::Thread {
         name: "tickets",
         source,
     })?;
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -27,7 +27,7 @@
             TicketOwner, //
         }, //
     },
-    tickets::TicketContext,
+    ticketed_calls::TicketContext,
     types::Bytes, //
 };
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,7 +58,7 @@
 pub mod status;
 pub mod ticket;
 pub mod ticket_thread;
-pub mod tickets;
+pub mod ticketed_calls;
 pub mod types;
 pub mod upstream;
 pub mod watch;
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -52,7 +52,7 @@
     },
     sink::AnswerSink,
     ticket::call::CallDigest,
-    tickets::{
+    ticketed_calls::{
         TicketCaller,
         TicketContext,
         TicketRequest, //
--- a/src/ticket_thread.rs
+++ b/src/ticket_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the ticket table, and the ring that leads to it.
+//! The thread that owns the ticket table, and the queue that leads to it.
 
 use std::{
     thread::{
@@ -23,35 +23,35 @@
     types::Millis, //
 };
 
-const RING_JOBS: usize = 1_024;
+const MAX_QUEUED_JOBS: usize = 1_024;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 type Job = Box<dyn FnOnce(&mut TicketTable, Millis) + Send>;
 
 /// Leads jobs to the thread that owns the ticket table.
 #[derive(Clone)]
-pub struct TableHandle {
-    ring: Sender<Job>,
+pub struct TicketTableHandle {
+    queue: Sender<Job>,
 }
 
-impl TableHandle {
+impl TicketTableHandle {
     /// Starts the thread; it ends when the last handle is dropped.
     pub fn start(table: TicketTable) -> std::io::Result<(Self, JoinHandle<()>)> {
-        let (ring, jobs) = bounded(RING_JOBS);
+        let (queue, jobs) = bounded(MAX_QUEUED_JOBS);
         let thread = thread::Builder::new()
             .name("tickets".into())
             .spawn(move || run_table(table, &jobs))?;
-        Ok((Self { ring }, thread))
+        Ok((Self { queue }, thread))
     }
 
-    /// Runs `job` on the table, unless the ring is full.
+    /// Runs `job` on the table, unless the queue is full.
     pub fn run<F, T>(&self, job: F) -> Result<T, RingFull>
     where
         F: FnOnce(&mut TicketTable, Millis) -> T + Send + 'static,
         T: Send + 'static,
     {
-        let (job, answer) = with_answer(job);
-        self.ring.try_send(job).map_err(|error| match error {
+        let (job, answer) = job_with_result(job);
+        self.queue.try_send(job).map_err(|error| match error {
             TrySendError::Full(_) | TrySendError::Disconnected(_) => RingFull,
         })?;
         answer.recv().map_err(|_| RingFull)
@@ -59,18 +59,18 @@
 
     /// Runs `job` on the table and waits for room; for ends of calls, which must
     /// not be lost.
-    pub fn run_surely<F, T>(&self, job: F) -> Result<T, RingFull>
+    pub fn run_blocking<F, T>(&self, job: F) -> Result<T, RingFull>
     where
         F: FnOnce(&mut TicketTable, Millis) -> T + Send + 'static,
         T: Send + 'static,
     {
-        let (job, answer) = with_answer(job);
-        self.ring.send(job).map_err(|_| RingFull)?;
+        let (job, answer) = job_with_result(job);
+        self.queue.send(job).map_err(|_| RingFull)?;
         answer.recv().map_err(|_| RingFull)
     }
 }
 
-fn with_answer<F, T>(job: F) -> (Job, Receiver<T>)
+fn job_with_result<F, T>(job: F) -> (Job, Receiver<T>)
 where
     F: FnOnce(&mut TicketTable, Millis) -> T + Send + 'static,
     T: Send + 'static,
--- a/src/tickets.rs
+++ b/src/ticketed_calls.rs
@@ -81,7 +81,7 @@
             VerifyContext,
         }, //
     },
-    ticket_thread::TableHandle,
+    ticket_thread::TicketTableHandle,
     types::{
         CallerId,
         Millis,
@@ -96,13 +96,13 @@
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(60);
 const MAX_ANSWER_BYTES: usize = 17 * 1024 * 1024;
 /// When to come back after the ring of the table was full.
-const SHED_RETRY_AFTER_MS: Millis = Millis(1_000);
+const FULL_QUEUE_RETRY_AFTER_MS: Millis = Millis(1_000);
 
 /// What ticketed calls need.
 #[derive(Clone)]
 pub struct TicketContext {
     /// Leads to the ticket table.
-    pub table: TableHandle,
+    pub table: TicketTableHandle,
     /// Writes and verifies tickets.
     pub signer: TicketSigner,
     /// This host.
@@ -147,7 +147,7 @@
             table.issue(id, &issue_request, now_ms)
         });
         let busy = IssueError::Full {
-            retry_after_ms: SHED_RETRY_AFTER_MS,
+            retry_after_ms: FULL_QUEUE_RETRY_AFTER_MS,
         };
         let ticket = issued.map_err(|RingFull| busy)??;
         self.signer.encode(&ticket).map_err(|_| busy)
@@ -181,10 +181,10 @@
             (Err(TicketError::Malformed), Some(service)) => {
                 return self.ticket_required(from, service);
             }
-            (Err(error), _) => return PlainAnswer::from_error(&unusable(error)),
+            (Err(error), _) => return PlainAnswer::from_error(&ticket_error_answer(error)),
         };
         match self.route(&ticket, from, false) {
-            Ok(Route::Local) => self.serve_here(&ticket, request),
+            Ok(Route::Local) => self.serve_local(&ticket, request),
             Ok(Route::Forward(owner)) => self.forward(text, &owner, from, request),
             Ok(Route::Refused(refusal)) => PlainAnswer::from_refusal(&refusal),
             Err(RingFull) => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
@@ -200,10 +200,10 @@
     ) -> PlainAnswer {
         let ticket = match self.verify(text, from, None) {
             Ok(ticket) => ticket,
-            Err(error) => return PlainAnswer::from_error(&unusable(error)),
+            Err(error) => return PlainAnswer::from_error(&ticket_error_answer(error)),
         };
         match self.route(&ticket, from, true) {
-            Ok(Route::Local) => self.serve_here(&ticket, request),
+            Ok(Route::Local) => self.serve_local(&ticket, request),
             Ok(Route::Refused(refusal)) => PlainAnswer::from_refusal(&refusal),
             Ok(Route::Forward(_)) | Err(RingFull) => {
                 PlainAnswer::from_refusal(&TicketRefusal::unreachable())
@@ -262,15 +262,15 @@
         Ok(route(ticket, &view))
     }
 
-    fn serve_here(&self, ticket: &Ticket, request: TicketRequest) -> PlainAnswer {
+    fn serve_local(&self, ticket: &Ticket, request: TicketRequest) -> PlainAnswer {
         match request {
-            TicketRequest::Call(exchange, digest) => self.call(ticket, *exchange, digest),
+            TicketRequest::Call(exchange, digest) => self.begin_call(ticket, *exchange, digest),
             TicketRequest::State => self.state(ticket),
             TicketRequest::Void => self.void(ticket),
         }
     }
 
-    fn call(&self, ticket: &Ticket, exchange: Exchange, digest: CallDigest) -> PlainAnswer {
+    fn begin_call(&self, ticket: &Ticket, exchange: Exchange, digest: CallDigest) -> PlainAnswer {
         let asked = ticket.clone();
         let begun = self
             .table
@@ -294,7 +294,11 @@
         let (refusal, claim) = match settlement {
             Settlement::Answered(sent) => {
                 let Some(answer) = sink.into_captured() else {
-                    return self.unknown(request, permit, Refusal::new(RefusalReason::NoEndpoint));
+                    return self.end_unknown(
+                        request,
+                        permit,
+                        Refusal::new(RefusalReason::NoEndpoint),
+                    );
                 };
                 let mut kept = KeptAnswer::new(answer.status, answer.body);
                 for field in answer.headers.iter() {
@@ -303,7 +307,7 @@
                 let plain = PlainAnswer::from_kept(&kept);
                 let finished = self
                     .table
-                    .run_surely(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
+                    .run_blocking(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
                 if !matches!(finished, Ok(Ok(()))) {
                     tracing::warn!(%request, "the end of a ticketed call could not be recorded");
                 }
@@ -312,16 +316,16 @@
             Settlement::GivenUp { refusal, claim, .. } => (refusal, claim),
             Settlement::CallerGone => {
                 let refusal = Refusal::new(RefusalReason::RetriesExhausted);
-                return self.unknown(request, permit, refusal);
+                return self.end_unknown(request, permit, refusal);
             }
         };
         match claim {
-            Claim::Unsent(unsent) => self.not_run(request, permit, unsent, refusal),
-            Claim::Sent(_) | Claim::Settled => self.unknown(request, permit, refusal),
+            Claim::Unsent(unsent) => self.end_not_run(request, permit, unsent, refusal),
+            Claim::Sent(_) | Claim::Settled => self.end_unknown(request, permit, refusal),
         }
     }
 
-    fn not_run(
+    fn end_not_run(
         &self,
         request: RequestId,
         permit: Permit,
@@ -330,7 +334,7 @@
     ) -> PlainAnswer {
         let closed = self
             .table
-            .run_surely(move |table, now_ms| table.give_up(permit, unsent, now_ms));
+            .run_blocking(move |table, now_ms| table.give_up(permit, unsent, now_ms));
         // Without the record, the same ticket might run later.
         let state = match closed {
             Ok(Ok(closed)) => RunState::NotRun(closed.not_run),
@@ -341,10 +345,10 @@
         PlainAnswer::from_error(&answer)
     }
 
-    fn unknown(&self, request: RequestId, permit: Permit, refusal: Refusal) -> PlainAnswer {
+    fn end_unknown(&self, request: RequestId, permit: Permit, refusal: Refusal) -> PlainAnswer {
         let recorded = self
             .table
-            .run_surely(move |table, now_ms| table.finish_unknown(permit, now_ms));
+            .run_blocking(move |table, now_ms| table.finish_unknown(permit, now_ms));
         if !matches!(recorded, Ok(Ok(()))) {
             tracing::warn!(%request, "the end of a ticketed call could not be recorded");
         }
@@ -405,13 +409,13 @@
         };
         let deadline = deadline.max(Instant::now() + Duration::from_secs(2));
         let deadline = deadline.min(Instant::now() + FORWARD_TIMEOUT);
-        match self.ask(owner, &frame, &body, deadline) {
+        match self.send_to_owner(owner, &frame, &body, deadline) {
             Some(answer) => answer,
             None => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
 
-    fn ask(
+    fn send_to_owner(
         &self,
         owner: &TicketOwner,
         frame: &Frame,
@@ -444,19 +448,19 @@
     pub fn start_handover(&self, successor: HostInstance) -> bool {
         let started = self
             .table
-            .run_surely(move |table, _| table.start_handover(successor));
+            .run_blocking(move |table, _| table.start_handover(successor));
         matches!(started, Ok(Ok(())))
     }
 
     /// Ticketed calls in progress.
     pub fn started_count(&self) -> usize {
-        let count = self.table.run_surely(|table, _| table.started_count());
+        let count = self.table.run_blocking(|table, _| table.started_count());
         count.unwrap_or(0)
     }
 
     /// Empties the table into the message for the successor.
     pub fn export(&self, intents: Arc<Intents>, successor_region: RegionId) -> Option<Vec<u8>> {
-        let exported = self.table.run_surely(move |table, now_ms| {
+        let exported = self.table.run_blocking(move |table, now_ms| {
             let may_receive = |caller: &CallerId| {
                 let intent = intents.caller(caller);
                 intent.is_some_and(|intent| intent.regions.contains(&successor_region))
@@ -474,7 +478,7 @@
         };
         let imported = self
             .table
-            .run_surely(move |table, now_ms| table.import(&handover, now_ms));
+            .run_blocking(move |table, now_ms| table.import(&handover, now_ms));
         match imported {
             Ok(Ok(imported)) => {
                 tracing::info!(tickets = imported.accepted, "took over a ticket table");
@@ -512,7 +516,7 @@
     )
 }
 
-fn unusable(error: TicketError) -> ErrorAnswer {
+fn ticket_error_answer(error: TicketError) -> ErrorAnswer {
     ErrorAnswer::new(
         error.status(),
         "ticket_not_accepted",
