--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -1,4 +1,5 @@
-//! The owner's table: the only place where a ticket changes its state.
+//! The table in which one host instance keeps its tickets: the only place where
+//! a ticket changes its state.
 
 use std::{
     collections::{
@@ -55,18 +56,20 @@
     }, //
 };
 
-/// Bounds of one table.
+/// Limits of one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TicketLimits {
-    /// How long after its issue a ticket can start.
+    /// How long after its issue the call of a ticket can start.
     pub lifetime_ms: Millis,
-    /// Most tickets in the table, whatever their state.
+    /// Maximum number of tickets in the table, whatever their state.
     pub max_tickets: usize,
-    /// Most tickets of one caller, so that one caller cannot use up the table.
+    /// Maximum number of tickets of one caller, so that one caller cannot fill
+    /// the table.
     pub max_tickets_per_caller: usize,
-    /// Largest answer that is kept.
+    /// Maximum size of an answer that is kept.
     pub max_answer_bytes: Bytes,
-    /// Kept answers and room reserved for calls in progress, in total.
+    /// Maximum total of the kept answers and the room reserved for the answers
+    /// of calls in progress.
     pub max_kept_bytes: Bytes,
 }
 
@@ -82,7 +85,7 @@
     }
 }
 
-/// Whom a ticket is issued to and for what.
+/// Who requests a ticket and for what.
 #[derive(Debug, Clone)]
 pub struct IssueRequest<'a> {
     /// The authenticated caller.
@@ -96,31 +99,34 @@
 /// Why no ticket is issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum IssueError {
-    /// The host is leaving; another entry host issues tickets.
+    /// The host is leaving the cluster; another host can issue tickets.
     #[error("host is leaving and issues no tickets")]
     Leaving,
     /// The table is full.
-    #[error("ticket table is full until a ticket is forgotten in {retry_after_ms}")]
+    #[error("ticket table is full; the next ticket expires or is forgotten in {retry_after_ms}")]
     Full {
-        /// When the next ticket is forgotten.
+        /// Time until the next ticket expires or is forgotten.
         retry_after_ms: Millis,
     },
     /// The caller has too many tickets.
-    #[error("caller has too many tickets until one is forgotten in {retry_after_ms}")]
+    #[error(
+        "caller has too many tickets; the next ticket expires or is forgotten in {retry_after_ms}"
+    )]
     CallerFull {
-        /// When the next ticket of any caller is forgotten.
+        /// Time until the next ticket of any caller expires or is forgotten.
         retry_after_ms: Millis,
     },
     /// The caller's data must not reach this region.
     #[error("region of this host is outside the regions of the caller")]
     OutsideResidency,
-    /// The random number is already in use; draw another one.
+    /// The id is already in use; draw another one.
     #[error("ticket id is already in use")]
     DuplicateId,
 }
 
 impl IssueError {
-    /// After how long a ticket may be issued here, if it ever is.
+    /// Returns the time after which this host may issue a ticket, if it ever
+    /// may.
     pub fn retry_after_ms(self) -> Option<Millis> {
         match self {
             Self::Full { retry_after_ms } | Self::CallerFull { retry_after_ms } => {
@@ -131,7 +137,7 @@
         }
     }
 
-    /// Error code in the body of the answer.
+    /// Returns the error code for the body of the answer.
     pub fn code(self) -> &'static str {
         match self {
             Self::Leaving => "ticket_host_leaving",
@@ -143,7 +149,7 @@
     }
 }
 
-/// The right to run one call once; there is at most one per ticket at a time.
+/// The right to run one call once; a ticket has at most one at a time.
 #[derive(Debug)]
 #[must_use]
 pub struct Permit {
@@ -152,52 +158,53 @@
 }
 
 impl Permit {
-    /// The ticket that the permit belongs to.
+    /// Returns the ticket that the permit belongs to.
     pub fn id(&self) -> TicketId {
         self.id
     }
 }
 
-/// A permit comes from another table, or the table has handed its tickets over
-/// or forgotten this one. The state of the ticket is unknown.
+/// Error for a permit that is no longer valid: it comes from another table, or
+/// the table has handed over its tickets or forgotten this one. The state of
+/// the ticket is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("ticket {0} is not in progress in this table any more")]
+#[error("ticket {0} is no longer in progress in this table")]
 pub struct StalePermit(pub TicketId);
 
-/// Answer to the begin of a call.
+/// Result of [`TicketTable::begin`].
 #[derive(Debug)]
 #[must_use]
 pub enum Begin {
-    /// The call has started: send it, then use the permit.
+    /// The call has started and must be sent.
     Started {
-        /// Ends the call.
+        /// Records the end of the call.
         permit: Permit,
-        /// Shows that no byte of the call has been sent.
+        /// Proof that no byte of the call has been sent.
         unsent: Unsent,
     },
-    /// The call has ended before; give its answer again.
+    /// The call has already finished; its kept answer is sent again.
     Replay(Arc<KeptAnswer>),
     /// The call must not be sent.
     Refused(TicketRefusal),
 }
 
-/// State of a ticket for `GET /v1/tickets/TICKET`.
+/// State of a ticket, as returned by `GET /v1/tickets/TICKET`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TicketState {
     /// Not started; it may still start, so this is not `not_run`.
     Issued,
     /// In progress.
     Started,
-    /// Ended; the answer if it is still kept.
+    /// Finished; the answer if it is still kept.
     Finished(Option<Arc<KeptAnswer>>),
     /// Never ran and never will.
     Closed(Closed),
-    /// May have run, and nobody will ever know.
+    /// May have run; this will not be known later either.
     Unknown,
 }
 
 impl TicketState {
-    /// The state as a word for callers.
+    /// Returns the name of the state in answers to callers.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Issued => "issued",
@@ -215,7 +222,7 @@
 
 #[derive(Debug)]
 enum State {
-    /// Holds the only `Unsent` of the ticket until a call begins.
+    /// Contains the only `Unsent` of the ticket until a call begins.
     Issued(Unsent),
     /// One permit exists.
     Started,
@@ -232,8 +239,8 @@
 }
 
 impl Entry {
-    /// Whether a call with `digest` is not the one the ticket is bound to.
-    fn is_bound_elsewhere(&self, digest: CallDigest) -> bool {
+    /// Whether the ticket is bound to a call other than that of `digest`.
+    fn is_bound_to_other_call(&self, digest: CallDigest) -> bool {
         self.digest.is_some_and(|bound| bound != digest)
     }
 
@@ -249,11 +256,11 @@
     Exported(Arc<Handover>),
 }
 
-/// The tickets that one run of a host owns or has imported.
+/// The tickets that one host instance has issued or imported.
 ///
-/// All times are instants on the host's clock. The table never goes back behind
-/// the latest instant it was given, so a clock that is set back cannot revive a
-/// ticket that was called expired.
+/// All times are instants on the host's clock. The table's time never goes back
+/// behind the latest instant passed to it, so a clock that is set back cannot
+/// make a ticket valid again that was reported as expired.
 #[derive(Debug)]
 pub struct TicketTable {
     this_host: TicketOwner,
@@ -271,7 +278,7 @@
 }
 
 impl TicketTable {
-    /// An empty table of a run that starts at `now_ms`.
+    /// Returns an empty table for an instance that starts at `now_ms`.
     pub fn new(this_host: TicketOwner, now_ms: Millis) -> Self {
         let owners = BTreeSet::from([this_host.instance.clone()]);
         Self {
@@ -289,33 +296,34 @@
         }
     }
 
-    /// The same table with other bounds.
+    /// Replaces the limits.
     pub fn with_limits(mut self, limits: TicketLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// The run that this table belongs to.
+    /// Returns the host instance that this table belongs to.
     pub fn this_host(&self) -> &TicketOwner {
         &self.this_host
     }
 
-    /// Number of tickets in the table.
+    /// Returns the number of tickets in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the table has no tickets.
+    /// Returns whether the table has no tickets.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Kept answers and room reserved for calls in progress.
+    /// Returns the size of the kept answers and of the room reserved for the
+    /// answers of calls in progress.
     pub fn kept_bytes(&self) -> Bytes {
         self.kept_bytes
     }
 
-    /// Number of calls in progress.
+    /// Returns the number of calls in progress.
     pub fn started_count(&self) -> usize {
         self.entries
             .values()
@@ -323,13 +331,14 @@
             .count()
     }
 
-    /// Runs whose tickets are decided here, for the heartbeat; none after the
-    /// export.
+    /// Returns the owners of the tickets that this table decides, for the
+    /// heartbeat: this instance and those whose tickets it has imported; none
+    /// after the export.
     pub fn owners(&self) -> &BTreeSet<HostInstance> {
         &self.owners
     }
 
-    /// Whether the state of `ticket` is decided here.
+    /// Returns whether this table decides the state of `ticket`.
     pub fn holds(&self, ticket: &Ticket) -> bool {
         self.owners.contains(&ticket.body().owner.instance)
     }
@@ -384,11 +393,11 @@
         Ok(())
     }
 
-    /// Starts the call of a ticket, unless it has started before.
+    /// Starts the call of a ticket, unless it has already started.
     ///
-    /// The start is recorded before this returns. `request` is the caller's
-    /// proof that it has not sent the call itself; it is consumed, so that a
-    /// refused duplicate cannot be reported as `not_run`.
+    /// The start is recorded before this returns. `request` proves that the
+    /// code that calls this has not sent the call itself; it is consumed, so
+    /// that a refused duplicate cannot be reported as `not_run`.
     pub fn begin(
         &mut self,
         ticket: &Ticket,
@@ -412,7 +421,7 @@
         if let State::Closed(closed) = entry.state {
             return Some(refused(TicketRefusalReason::Closed(closed)));
         }
-        if entry.is_bound_elsewhere(digest) {
+        if entry.is_bound_to_other_call(digest) {
             return Some(refused(TicketRefusalReason::OtherCall));
         }
         match &entry.state {
@@ -455,10 +464,11 @@
         Begin::Started { permit, unsent }
     }
 
-    /// Ends a call that was sent and properly answered, whatever the status.
+    /// Ends a call that was sent and has a complete answer, whatever its
+    /// status.
     ///
-    /// An answer above [`TicketLimits::max_answer_bytes`] is not kept; a repeat
-    /// then learns only that the call has finished.
+    /// An answer above [`TicketLimits::max_answer_bytes`] is not kept; the
+    /// answer to a repeat is then only that the call has finished.
     pub fn finish(
         &mut self,
         permit: Permit,
@@ -480,16 +490,17 @@
         Ok(())
     }
 
-    /// Ends a call that may have been sent and has no proper answer.
+    /// Ends a call that may have been sent and has no complete answer.
     pub fn finish_unknown(&mut self, permit: Permit, now_ms: Millis) -> Result<(), StalePermit> {
         self.advance(now_ms);
         self.end(permit)?;
         Ok(())
     }
 
-    /// Takes a call back of which no byte was sent; the ticket can start again.
+    /// Returns a call of which no byte was sent to the state issued, so that it
+    /// can start again.
     ///
-    /// Nobody may be told `not_run` for this, because the same ticket may run
+    /// This must not be reported as `not_run`, because the same ticket may run
     /// later. A ticket that has expired meanwhile is closed.
     pub fn release(
         &mut self,
@@ -509,7 +520,7 @@
     }
 
     /// Gives up a call of which no byte was sent and closes its ticket, so that
-    /// the caller can be told `not_run`.
+    /// `not_run` can be reported to the caller.
     pub fn give_up(
         &mut self,
         permit: Permit,
@@ -523,7 +534,8 @@
         Ok(closed)
     }
 
-    /// Takes the call of `permit` out of progress, with the state `Unknown`.
+    /// Ends the call of `permit` with the state `Unknown`, which the methods
+    /// that use this replace if they know more.
     fn end(&mut self, permit: Permit) -> Result<&mut Entry, StalePermit> {
         let stale = StalePermit(permit.id);
         if permit.table != self.this_host.instance {
@@ -540,7 +552,7 @@
         }
     }
 
-    /// Voids a ticket that has not started; it never runs after this.
+    /// Voids a ticket whose call has not started, so that it never runs.
     pub fn void(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
         self.advance(now_ms);
         self.find(ticket)?;
@@ -559,7 +571,8 @@
         }
     }
 
-    /// State of a ticket; refused if it is not decided here.
+    /// Returns the state of a ticket, or a refusal if this table does not
+    /// decide it.
     pub fn state(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<TicketState, TicketRefusal> {
         self.advance(now_ms);
         let entry = self.find(ticket)?;
@@ -572,14 +585,15 @@
         })
     }
 
-    /// Expires and forgets tickets that are due, and returns how many tickets
-    /// are left. Every other method does this first.
+    /// Expires and forgets tickets that are due, and returns the number of
+    /// tickets that are left. Every method that takes `now_ms` does this first.
     pub fn sweep(&mut self, now_ms: Millis) -> usize {
         self.advance(now_ms);
         self.entries.len()
     }
 
-    /// Stops issuing and starting. `successor` can be replaced until the export.
+    /// Stops issuing tickets and starting calls. `successor` can be replaced
+    /// until the export.
     pub fn start_handover(&mut self, successor: HostInstance) -> Result<(), HandoverError> {
         if successor == self.this_host.instance {
             return Err(HandoverError::ToItself(successor));
@@ -595,7 +609,7 @@
     ///
     /// Calls that are still in progress become unknown, so wait for
     /// [`started_count`](Self::started_count) to reach zero first, up to the
-    /// drain limit. From here on this table decides nothing. A further export
+    /// drain limit. From then on this table decides nothing. A further export
     /// returns the same message, so that it can be sent again. Tickets of
     /// callers for which `may_receive` is false, because their data must not
     /// reach the successor, are left out and become unknown.
@@ -621,7 +635,7 @@
             valid_until_ms: self.now_ms + HANDOVER_VALID_MS,
             tickets: entries
                 .filter(|entry| may_receive(&entry.body.caller))
-                .map(hand_over)
+                .map(to_handover_ticket)
                 .collect(),
         });
         self.due.clear();
@@ -631,23 +645,24 @@
         Ok(handover)
     }
 
-    /// Takes over the tickets of a leaving run.
+    /// Adds the tickets of a leaving instance.
     ///
-    /// Tickets that an earlier run of this host issued can only be finished or
-    /// unknown here, because this host may have called them unknown for good.
+    /// Tickets that an earlier instance of this host issued can only become
+    /// finished or unknown, because this host may already have reported them as
+    /// permanently unknown.
     pub fn import(&mut self, handover: &Handover, now_ms: Millis) -> Result<Imported, ImportError> {
         self.advance(now_ms);
         self.check_import(handover)?;
         self.imported.insert(handover.from.clone());
-        let other_runs = handover
+        let other_owners = handover
             .owners
             .iter()
-            .filter(|run| **run != self.this_host.instance);
-        self.owners.extend(other_runs.cloned());
+            .filter(|owner| **owner != self.this_host.instance);
+        self.owners.extend(other_owners.cloned());
         let mut imported = Imported::default();
         for ticket in &handover.tickets {
             if self.has_room_to_import(ticket) {
-                self.insert_handed(ticket);
+                self.insert_imported(ticket);
                 imported.accepted += 1;
             } else {
                 imported.dropped += 1;
@@ -679,18 +694,19 @@
         Ok(())
     }
 
-    /// Twice the bound, so that a full table can be handed to a full table.
+    /// The limit for imports is twice [`TicketLimits::max_tickets`], so that a
+    /// full table can import a full table.
     fn has_room_to_import(&self, ticket: &HandoverTicket) -> bool {
         let has_room = self.entries.len() < self.limits.max_tickets.saturating_mul(2);
         has_room && !self.entries.contains_key(&ticket.body.id)
     }
 
-    fn insert_handed(&mut self, ticket: &HandoverTicket) {
+    fn insert_imported(&mut self, ticket: &HandoverTicket) {
         let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandoverState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
+            HandoverState::Finished(answer) => State::Finished(self.keep_imported(answer.as_ref())),
             _ if is_of_this_host => State::Unknown,
-            // The exporter has given up its own proof with the export.
+            // The exporter dropped its own `Unsent` with the export.
             HandoverState::Issued => State::Issued(Unsent::new()),
             HandoverState::Closed(reason) => State::Closed(Closed::new(*reason, Unsent::new())),
             HandoverState::Unknown => State::Unknown,
@@ -702,7 +718,7 @@
         });
     }
 
-    fn keep_handed(&mut self, answer: Option<&KeptAnswer>) -> Option<Arc<KeptAnswer>> {
+    fn keep_imported(&mut self, answer: Option<&KeptAnswer>) -> Option<Arc<KeptAnswer>> {
         let answer = answer?;
         let kept_bytes = self.kept_bytes + answer.size_bytes();
         if kept_bytes > self.limits.max_kept_bytes {
@@ -720,11 +736,11 @@
         let entry = self.entries.get(&body.id);
         entry
             .filter(|entry| entry.body == *body)
-            .ok_or_else(|| self.not_held(&body.owner.instance))
+            .ok_or_else(|| self.refuse_missing(&body.owner.instance))
     }
 
-    /// Answer for a ticket that is not in the table.
-    fn not_held(&self, owner: &HostInstance) -> TicketRefusal {
+    /// Refusal for a ticket that is not in the table.
+    fn refuse_missing(&self, owner: &HostInstance) -> TicketRefusal {
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
         if self.owners.contains(owner) {
             // Forgotten, or left out of a handover.
@@ -733,7 +749,8 @@
         if owner.host != self.this_host.instance.host {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
-        // A successor of the earlier run may not have announced itself yet.
+        // A successor of the earlier instance may not have announced itself
+        // yet.
         if self.now_ms < self.started_ms + HANDOVER_SETTLE_MS {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
@@ -811,7 +828,8 @@
     }
 }
 
-/// Applies the expiry to a state and returns the bytes that it no longer keeps.
+/// Applies the expiry to a state and returns the bytes of the answer that is
+/// dropped.
 fn expire(state: &mut State) -> Bytes {
     match std::mem::replace(state, State::Unknown) {
         State::Issued(unsent) => {
@@ -829,7 +847,7 @@
     }
 }
 
-fn hand_over(entry: Entry) -> HandoverTicket {
+fn to_handover_ticket(entry: Entry) -> HandoverTicket {
     let state = match entry.state {
         State::Issued(_) => HandoverState::Issued,
         State::Started | State::Unknown => HandoverState::Unknown,
