--- a/src/ticket/call.rs
+++ b/src/ticket/call.rs
@@ -1,4 +1,4 @@
-//! What a ticket is bound to and the answer that is kept for it.
+//! The digest of the call that a ticket is bound to, and its kept answer.
 
 use std::fmt;
 
@@ -20,11 +20,12 @@
 pub struct CallDigest([u8; 32]);
 
 impl CallDigest {
-    /// Digest of a call; `path` includes the query.
+    /// Returns the digest of a call; `path` includes the query.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [method.as_bytes(), path.as_bytes(), body] {
-            // The length keeps bytes from moving between the parts.
+            // Without the length, bytes could move from one part to the next
+            // and give the same digest.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -53,19 +54,19 @@
     pub value: CompactString,
 }
 
-/// A whole answer of an endpoint, kept so that it can be given again.
+/// A complete answer of an endpoint, kept so that it can be replayed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
     /// Header fields that describe the answer, without connection fields.
     pub fields: Vec<KeptField>,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl KeptAnswer {
-    /// An answer without header fields.
+    /// Returns an answer without header fields.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The same answer with one more header field.
+    /// Adds a header field.
     pub fn with_field(mut self, name: &str, value: &str) -> Self {
         self.fields.push(KeptField {
             name: CompactString::from(name),
@@ -83,7 +84,7 @@
         self
     }
 
-    /// Bytes that count towards the bounds of the table.
+    /// Returns the bytes that count towards the limits of the table.
     pub fn size_bytes(&self) -> Bytes {
         let fields = self
             .fields
--- a/src/ticket/handover.rs
+++ b/src/ticket/handover.rs
@@ -1,4 +1,4 @@
-//! The table of a leaving host on its way to its successor.
+//! The message with which a leaving host hands its table to its successor.
 
 use serde::{
     Deserialize,
@@ -21,18 +21,18 @@
 
 /// How long after the export a successor may still import the table.
 ///
-/// A bound is needed so that a forwarder which sees the host's next run can
-/// tell at some point that no successor will turn up; see
-/// [`HANDOVER_SETTLE_MS`](super::route::HANDOVER_SETTLE_MS).
+/// A limit is needed so that a forwarding host that sees the next instance of
+/// the leaving host can conclude at some point that no successor will announce
+/// itself; see [`HANDOVER_SETTLE_MS`](super::route::HANDOVER_SETTLE_MS).
 pub const HANDOVER_VALID_MS: Millis = Millis(5_000);
 
 /// Final or resumable state of one ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandoverState {
-    /// Not started; the successor may run it.
+    /// Not started; the successor may run the call.
     Issued,
-    /// Ran to its end; the answer if it is still kept.
+    /// Completed; the answer if it is still kept.
     Finished(Option<KeptAnswer>),
     /// Never ran and never will.
     Closed(ClosedReason),
@@ -43,28 +43,29 @@
 /// One ticket in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverTicket {
-    /// What the ticket says.
+    /// Contents of the ticket.
     pub body: TicketBody,
-    /// The call it is bound to, once one has begun.
+    /// Digest of the call that it is bound to, once one has started.
     pub digest: Option<CallDigest>,
-    /// How far it has come.
+    /// State of the ticket.
     pub state: HandoverState,
 }
 
-/// The whole table of one run, addressed to one other run.
+/// The complete table of one host instance, addressed to one other instance.
 ///
-/// The run that exports it has started its last call; see
+/// The instance that exports it starts no further calls; see
 /// [`TicketTable::export`](super::table::TicketTable::export). The message that
 /// carries it must be authenticated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The run that is leaving.
+    /// The instance that is leaving.
     pub from: HostInstance,
-    /// The one run that may import it.
+    /// The only instance that may import it.
     pub to: HostInstance,
-    /// All runs whose tickets are in here: `from` and those it had imported.
+    /// Owners of the tickets: `from` and the instances whose tickets it had
+    /// imported.
     pub owners: Vec<HostInstance>,
-    /// Instant from which it must not be imported.
+    /// Instant from which it must no longer be imported.
     pub valid_until_ms: Millis,
     /// The tickets, without those whose caller's data must not reach `to`.
     pub tickets: Vec<HandoverTicket>,
@@ -73,49 +74,51 @@
 /// Why a table cannot be handed over.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HandoverError {
-    /// The successor is the leaving run itself.
-    #[error("host run {0} cannot hand its tickets over to itself")]
+    /// The successor is the leaving instance itself.
+    #[error("host instance {0} cannot hand over its tickets to itself")]
     ToItself(HostInstance),
-    /// The table has already been exported to another run.
+    /// The table has already been exported to another instance.
     #[error("ticket table has already been exported to {0}")]
     AlreadyExported(HostInstance),
     /// No handover has been started.
-    #[error("ticket table cannot be exported: expected a started handover")]
+    #[error("ticket table cannot be exported: no handover has been started")]
     NotLeaving,
 }
 
 /// Why a handover is not imported.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ImportError {
-    /// It is addressed to another run.
-    #[error("handover is addressed to {to}, this is {receiver}")]
+    /// It is addressed to another instance.
+    #[error("handover is addressed to {to}, but was received by {receiver}")]
     NotAddressed {
-        /// Whom it is addressed to.
+        /// The instance that it is addressed to.
         to: HostInstance,
-        /// The run that refuses it.
+        /// The instance that refuses it.
         receiver: HostInstance,
     },
-    /// The same run's table has been imported before; nothing has changed.
+    /// The table of the same instance has already been imported; nothing
+    /// changes.
     #[error("handover of {0} has already been imported")]
     AlreadyImported(HostInstance),
     /// It is older than [`HANDOVER_VALID_MS`].
-    #[error("handover of {from} was valid until {valid_until_ms}")]
+    #[error("handover of {from} arrived too late: it was valid until {valid_until_ms}")]
     Late {
-        /// The run that exported it.
+        /// The instance that exported it.
         from: HostInstance,
-        /// When it ceased to be valid.
+        /// Instant from which it is no longer valid.
         valid_until_ms: Millis,
     },
-    /// This run has exported its own table.
-    #[error("handover of {0} reached a host that has handed over its own tickets")]
+    /// This instance has exported its own table.
+    #[error("handover of {0} was received after this host handed over its own tickets")]
     AlreadyExported(HostInstance),
 }
 
-/// What an import took over.
+/// Counts of an import.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Imported {
-    /// Tickets that are now held here.
+    /// Tickets that were added to the table.
     pub accepted: usize,
-    /// Tickets for which there was no room; their state is unknown.
+    /// Tickets for which there was no room or whose id was in use; their state
+    /// is unknown.
     pub dropped: usize,
 }
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -1,12 +1,13 @@
 //! Tickets: at-most-once execution of calls that must not be repeated.
 //!
-//! A ticket names the one host run that may run a call. That run's
-//! [`TicketTable`](table::TicketTable) is the only place where the ticket
-//! changes its state, so a call can start once whatever messages are lost,
-//! repeated or late. Nothing in here opens a socket, starts a thread or reads a
-//! clock. At-most-once and `not_run` do not depend on clocks. Clocks only decide
-//! when a ticket expires, when a state is forgotten, and when a forwarder may
-//! call a ticket unknown for good.
+//! A ticket names the one host instance that may run a call: a host together
+//! with its incarnation, which changes with each restart. The
+//! [`TicketTable`](table::TicketTable) of that instance is the only place where
+//! the ticket changes its state, so a call starts at most once even if messages
+//! are lost, repeated or late. This module opens no sockets, starts no threads
+//! and reads no clocks. At-most-once and `not_run` do not depend on clocks.
+//! Clocks only decide when a ticket expires, when a state is forgotten, and
+//! when a forwarding host may report a ticket as permanently unknown.
 //!
 //! # States
 //!
@@ -19,48 +20,49 @@
 //! ```
 //!
 //! Only a closed ticket is `not_run`. An issued ticket is not: a repeat that is
-//! still on its way could start it after the caller has acted on the answer. A
+//! still in transit could start it after the caller has acted on the answer. A
 //! finished answer is kept until the ticket expires, every state until
 //! [`STATE_RETENTION_MS`] later. A ticket that the table has forgotten, or that
-//! an earlier run of the host issued, is unknown.
+//! an earlier instance of the host issued, is unknown.
 //!
-//! # Use by the data path
+//! # Use by the request path
 //!
-//! At the host that a caller talks to, for a method that needs a ticket:
+//! At the host that accepts the call, for a method that needs a ticket:
 //!
 //! 1. Authenticate the caller, compute its [`AllowedRegions`], and read the
-//!    whole request, because the ticket is bound to the digest of its body.
+//!    complete request, because the ticket is bound to the digest of its body.
 //! 2. Without a ticket, [`issue`] one and answer
 //!    [`TicketRefusal::ticket_required`] with it in the field
 //!    `Idempotency-Key` and in the body, or [`TicketRefusal::cannot_issue`].
 //! 3. With one, [`verify`] it; on failure answer [`TicketError::status`] and
 //!    [`TicketError::run_state`]. A key that is no ticket is 428 as well and
-//!    gets a fresh ticket.
-//! 4. Ask [`route`]. It forwards to the run that holds the ticket or says why
-//!    not. A forwarder answers with what the holder answers. If the holder's
-//!    answer is missing or incomplete the forwarder answers
+//!    gets a new ticket.
+//! 4. Call [`route`]. It selects the ticket's holder, the instance that decides
+//!    it now, or returns a refusal. A forwarding host passes on the holder's
+//!    answer. If that is missing or incomplete the forwarding host answers
 //!    [`TicketRefusal::unreachable`], also if it could not connect: an earlier
 //!    copy of the call may have arrived. It must never turn its own
 //!    [`Unsent`] into `not_run`.
 //!
-//! At the holder, `route` is asked again with `is_forwarded`, and then:
+//! At the holder, `route` is called again with `is_forwarded`, and then:
 //!
 //! 1. [`begin`] before admission, so that a repeat of a queued call is found.
 //! 2. On [`Begin::Started`], keep the permit, and run admission and the choice
 //!    of an endpoint with the `Unsent`. While no byte has been sent, another
 //!    endpoint may be tried with the same permit.
 //! 3. Call [`Unsent::mark_sent`] before the first byte is written.
-//! 4. When the answer has ended properly, call [`finish`], whatever its status,
-//!    before its last byte is relayed, so that a repeat finds it.
-//! 5. When it has not, call [`finish_unknown`]; the caller gets 502 `unknown`.
+//! 4. When the answer is complete, call [`finish`], whatever its status, before
+//!    its last byte is relayed, so that a repeat finds it.
+//! 5. When it is not, call [`finish_unknown`]; the caller gets 502 `unknown`.
 //! 6. When no byte was sent and the call is refused (admission, deadline, no
 //!    endpoint), call [`give_up`]; the caller gets 503 `not_run`, `Retry-After`
-//!    and a fresh ticket. If nobody is told anything, because the caller has
-//!    gone, call [`release`] instead: the caller may repeat with this ticket.
+//!    and a new ticket. If nobody receives an answer, because the caller has
+//!    disconnected, call [`release`] instead: the caller may repeat the call
+//!    with this ticket.
 //!
 //! A permit that is lost with its thread leaves the ticket started, which is
 //! safe. A [`StalePermit`](table::StalePermit) means that the table was handed
-//! over; relay the answer, but say `unknown` instead of `not_run`.
+//! over; relay the answer, but report `unknown` instead of `not_run`.
 //!
 //! # Answers
 //!
@@ -68,39 +70,40 @@
 //!
 //! | state of the ticket | status | `run_state` | `Retry-After` |
 //! |---|---|---|---|
-//! | no ticket on the call | 428 with a fresh ticket | `not_run` | |
-//! | key that is no ticket | 428 with a fresh ticket | `not_run` | |
+//! | no ticket on the call | 428 with a new ticket | `not_run` | |
+//! | key that is no ticket | 428 with a new ticket | `not_run` | |
 //! | forged, of another caller or service | 403 | `unknown` | |
-//! | owner outside residency | 421 | `unknown` | |
+//! | owner outside the allowed regions | 421 | `unknown` | |
 //! | no ticket, none can be issued | 503 | `not_run` | until one is forgotten |
-//! | no ticket, host outside residency | 421 | `not_run` | |
+//! | no ticket, host outside the allowed regions | 421 | `not_run` | |
 //! | started | 409 | `unknown` | 1 s |
 //! | finished, answer kept | as kept, `Idempotent-Replayed: true` | | |
 //! | finished, answer not kept | 409 | `unknown` | |
-//! | closed: voided, expired or given up | 410 with a fresh ticket | `not_run` | |
+//! | closed: voided, expired or given up | 410 with a new ticket | `not_run` | |
 //! | unknown | 409 | `unknown` | |
 //! | bound to a call with another digest | 409 | `unknown` | |
 //! | issued, host is leaving | 503 | `unknown` | 3 s, same ticket |
 //! | issued, no room for an answer | 503 | `unknown` | until room is freed |
 //! | holder not reachable | 502 | `unknown` | 2 s |
-//! | earlier run, successor may turn up | 409 | `unknown` | 2 s |
+//! | earlier instance, a successor may still import its table | 409 | `unknown` | 2 s |
 //!
-//! The call with another digest is not run, yet it is not called `not_run`: a
-//! caller that writes its body anew for a repeat would take that for the fate
-//! of its first call. `GET /v1/tickets/TICKET` answers 200 with
+//! The call with another digest is not run, yet the answer is not `not_run`: a
+//! caller that builds its body again for a repeat would take that as the
+//! outcome of its first call. `GET /v1/tickets/TICKET` answers 200 with
 //! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` answers 200
 //! `not_run` if [`void`] succeeds.
 //!
-//! # Leaving
+//! # Handover at shutdown
 //!
-//! [`start_handover`] names the successor and stops issuing and starting. When
-//! [`started_count`] is zero or the drain limit is reached, [`export`] makes the
-//! message; from there on this run decides nothing. It may be sent any number
-//! of times, and `AlreadyImported` in return counts as success. The successor
-//! announces [`owners`] with its heartbeats. If the message is lost, or arrives
-//! later than [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets
-//! are unknown. The message must be authenticated, because an import trusts
-//! that the exporter has given up its tickets.
+//! [`start_handover`] names the successor and stops issuing tickets and
+//! starting calls. When [`started_count`] is zero or the drain limit is
+//! reached, [`export`] makes the message; from then on this instance decides
+//! nothing. The message may be sent any number of times, and `AlreadyImported`
+//! in return counts as success. The successor announces [`owners`] with its
+//! heartbeats. If the message is lost, or arrives later than
+//! [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets are unknown.
+//! The message must be authenticated, because an import relies on the exporter
+//! having stopped deciding its tickets.
 //!
 //! [`AllowedRegions`]: crate::decision::residency::AllowedRegions
 //! [`Begin::Started`]: table::Begin::Started
@@ -117,13 +120,13 @@
 //! [`finish_unknown`]: table::TicketTable::finish_unknown
 //! [`finish`]: table::TicketTable::finish
 //! [`give_up`]: table::TicketTable::give_up
-//! [`owners`]: table::TicketTable::owners
 //! [`issue`]: table::TicketTable::issue
-//! [`verify`]: token::TicketSigner::verify
+//! [`owners`]: table::TicketTable::owners
 //! [`release`]: table::TicketTable::release
 //! [`route`]: route::route
 //! [`start_handover`]: table::TicketTable::start_handover
 //! [`started_count`]: table::TicketTable::started_count
+//! [`verify`]: token::TicketSigner::verify
 //! [`void`]: table::TicketTable::void
 
 pub mod call;
@@ -137,6 +140,6 @@
 
 /// How long a state is kept after its ticket has expired.
 ///
-/// A caller whose connection broke shortly before the expiry can still learn
-/// the outcome. After this span every host answers `unknown`.
+/// A caller whose connection broke shortly before the expiry can still query
+/// the outcome. After this time every host answers `unknown`.
 pub const STATE_RETENTION_MS: Millis = Millis(10 * 60 * 1000);
--- a/src/ticket/refusal.rs
+++ b/src/ticket/refusal.rs
@@ -1,4 +1,5 @@
-//! What a caller is told when a ticketed call gets no answer of an endpoint.
+//! The refusal that a caller receives when a ticketed call gets no answer of an
+//! endpoint.
 
 use std::fmt;
 
@@ -17,15 +18,15 @@
     types::Millis, //
 };
 
-/// When to ask again about a call that is in progress.
+/// Retry time for a call that is in progress.
 pub const IN_PROGRESS_RETRY_MS: Millis = Millis(1_000);
-/// When to ask again if the owner cannot be reached; a silent host gets no
+/// Retry time if the holder cannot be reached; an unreachable host gets no
 /// forwarded requests for at least this long.
 pub const UNREACHABLE_RETRY_MS: Millis = Millis(2_000);
-/// When to ask again while a table is on its way to the successor.
+/// Retry time while a table is being handed over to the successor.
 pub const LEAVING_RETRY_MS: Millis = Millis(3_000);
 
-/// Why a ticket can never run again.
+/// Why a call can never run under a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClosedReason {
@@ -33,7 +34,7 @@
     Voided,
     /// It expired before it started.
     Expired,
-    /// Its host gave the call up before a byte was sent.
+    /// Its host gave up the call before a byte was sent.
     GivenUp,
 }
 
@@ -47,12 +48,12 @@
     }
 }
 
-/// The end of a ticket whose call did not run and never will.
+/// Final state of a ticket whose call did not run and never will.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed {
-    /// How it came to this.
+    /// Why the ticket was closed.
     pub reason: ClosedReason,
-    /// The proof.
+    /// Proof that the call did not run.
     pub not_run: NotRun,
 }
 
@@ -73,37 +74,37 @@
     TicketRequired(NotRun),
     /// The call needs a ticket, has none, and none can be issued.
     CannotIssue(IssueError, NotRun),
-    /// The ticket never ran and never will.
+    /// The call of the ticket never ran and never will.
     Closed(Closed),
     /// The call has started and has not ended.
     InProgress,
     /// The ticket belongs to a call with another method, path or body.
     OtherCall,
-    /// The call ran and its answer is not kept, or it cannot be voided.
+    /// The call ran and its answer is not kept, or the ticket cannot be voided.
     AlreadyFinished,
-    /// Nobody knows whether the call ran.
+    /// It is not known whether the call ran.
     Unknown,
-    /// The table starts no calls because its host is leaving.
+    /// The table starts no calls because its host is leaving the cluster.
     Leaving,
     /// The table has no room for one more answer.
     AnswersFull,
-    /// The owner cannot be reached from here.
+    /// The holder of the ticket cannot be reached from this host.
     Unreachable,
 }
 
-/// A refusal with its retry time.
+/// A refusal of a ticketed call with its retry time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TicketRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: TicketRefusalReason,
-    /// After how long asking again with the same ticket can give more, or, with
-    /// [`TicketRefusalReason::CannotIssue`], after how long a ticket may be
-    /// issued. `None` if asking again never gives more.
+    /// Time after which a repeat with the same ticket can get another answer,
+    /// or, with [`TicketRefusalReason::CannotIssue`], after which a ticket may
+    /// be issued. `None` if a repeat always gets this answer.
     pub retry_after_ms: Option<Millis>,
 }
 
 impl TicketRefusal {
-    /// A refusal that no later question changes.
+    /// Returns a refusal that is final.
     pub fn new(reason: TicketRefusalReason) -> Self {
         Self {
             reason,
@@ -111,18 +112,18 @@
         }
     }
 
-    /// The same refusal with a retry time.
+    /// Sets the retry time.
     pub fn with_retry_after(mut self, retry_after_ms: Millis) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// For a call without a ticket; the answer carries a fresh one.
+    /// Refuses a call without a ticket; the answer carries a new one.
     pub fn ticket_required(request: Unsent) -> Self {
         Self::new(TicketRefusalReason::TicketRequired(request.give_up()))
     }
 
-    /// For a call without a ticket when the table cannot issue one.
+    /// Refuses a call without a ticket when the table cannot issue one.
     pub fn cannot_issue(request: Unsent, error: IssueError) -> Self {
         let reason = TicketRefusalReason::CannotIssue(error, request.give_up());
         Self {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// For a call whose owner did not answer, whether or not bytes were sent.
+    /// Refuses a call whose holder did not answer, whether or not bytes were
+    /// sent.
     pub fn unreachable() -> Self {
         Self::new(TicketRefusalReason::Unreachable).with_retry_after(UNREACHABLE_RETRY_MS)
     }
@@ -144,7 +146,7 @@
         Self::new(TicketRefusalReason::Leaving).with_retry_after(LEAVING_RETRY_MS)
     }
 
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status of the refusal.
     pub fn status(&self) -> u16 {
         match self.reason {
             TicketRefusalReason::TicketRequired(_) => 428,
@@ -161,7 +163,7 @@
         }
     }
 
-    /// What the caller is told about the call of the ticket.
+    /// Returns the run state that is reported to the caller.
     pub fn run_state(&self) -> RunState {
         match self.reason {
             TicketRefusalReason::TicketRequired(not_run)
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Error code in the body of the answer.
+    /// Returns the error code for the body of the answer.
     pub fn code(&self) -> &'static str {
         match self.reason {
             TicketRefusalReason::TicketRequired(_) => "ticket_required",
@@ -197,7 +199,8 @@
         }
     }
 
-    /// Value of the `Retry-After` field, in whole seconds rounded up.
+    /// Returns the value of the `Retry-After` field in whole seconds, rounded
+    /// up.
     pub fn retry_after_s(&self) -> Option<u64> {
         self.retry_after_ms
             .map(|span_ms| span_ms.0.div_ceil(1_000).max(1))
--- a/src/ticket/route.rs
+++ b/src/ticket/route.rs
@@ -1,4 +1,4 @@
-//! What a host does with a ticket that a caller presents.
+//! Decides which host instance serves a ticket that a caller presents.
 
 use super::{
     handover::HANDOVER_VALID_MS,
@@ -22,22 +22,23 @@
     }, //
 };
 
-/// How long after the first sight of a host's next run a ticket of the earlier
-/// run may still turn up at a successor.
+/// How long after a host's next instance is first seen a successor may still
+/// announce the tickets of the earlier instance.
 ///
 /// Three times [`HANDOVER_VALID_MS`]: the handover is imported within the first
-/// part, the rest covers the successor's announcement by gossip and the
+/// third, the rest covers the successor's announcement by gossip and the
 /// difference between the clocks of two hosts.
 pub const HANDOVER_SETTLE_MS: Millis = Millis(3 * HANDOVER_VALID_MS.0);
 
-/// The newest news of a host, from its heartbeats or the list.
+/// Latest known state of a host, from its heartbeats or the platform's list of
+/// hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownHost {
-    /// Its current run.
+    /// Incarnation of its current instance.
     pub incarnation: Incarnation,
-    /// Instant at which this host first heard of that run.
+    /// Instant at which this host first learned of that instance.
     pub first_seen_ms: Millis,
-    /// Instant at which this host last heard from that run.
+    /// Instant of the last heartbeat from that instance.
     pub last_seen_ms: Millis,
     /// Its region.
     pub region: RegionId,
@@ -47,40 +48,40 @@
     pub is_reachable: bool,
 }
 
-/// What this host knows when a ticket is presented.
+/// What this host knows about a ticket when it is presented.
 #[derive(Debug, Clone)]
 pub struct RouteView<'a> {
     /// This host.
     pub this_host: &'a TicketOwner,
-    /// Instant at which this host started.
+    /// Instant at which this instance started.
     pub started_ms: Millis,
     /// [`TicketTable::holds`](super::table::TicketTable::holds) of this host.
     pub is_held_here: bool,
-    /// Whether another host forwarded the call, which makes this host the last.
+    /// Whether another host forwarded the call; it is then not forwarded again.
     pub is_forwarded: bool,
-    /// The run last known to hold the tickets of the owner: the owner itself,
-    /// or the last successor that announced its run.
+    /// The instance last known to hold the tickets of the owner: the owner
+    /// itself, or the last successor that announced the owner.
     pub holder: &'a HostInstance,
-    /// Newest news of the host of `holder`.
+    /// Latest known state of the host of `holder`.
     pub known_host: Option<&'a KnownHost>,
     /// Regions that the caller's intent allows.
     pub allowed: &'a AllowedRegions,
-    /// Time at this host.
+    /// Current time at this host.
     pub now_ms: Millis,
 }
 
-/// What to do with a ticket.
+/// Where a ticket is served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
-    /// Ask the table of this host; its answer is final.
+    /// By the table of this host, whose answer is final.
     Local,
-    /// Forward to this run, which is the last host of the call.
+    /// By this instance; the request is forwarded to it.
     Forward(TicketOwner),
-    /// Nobody can be asked now.
+    /// Nowhere at present.
     Refused(TicketRefusal),
 }
 
-/// Decides where a ticket is decided. It never says `not_run`.
+/// Selects the holder of a ticket. A refusal from here is never `not_run`.
 pub fn route(ticket: &Ticket, view: &RouteView<'_>) -> Route {
     if view.is_held_here {
         return Route::Local;
@@ -90,14 +91,14 @@
         return Route::Refused(TicketRefusal::leaving());
     }
     if view.holder.host == view.this_host.instance.host {
-        return Route::Refused(earlier_run(view.started_ms, view.now_ms));
+        return Route::Refused(refuse_earlier_instance(view.started_ms, view.now_ms));
     }
     if view.is_forwarded {
-        // A forwarded call goes no further, even if the holder is known here.
+        // A forwarded call is not forwarded again, even if the holder is known.
         return Route::Refused(TicketRefusal::unreachable());
     }
     let Some(known_host) = view.known_host else {
-        return route_unseen(ticket, view.holder);
+        return route_to_unknown_host(ticket, view.holder);
     };
     if is_superseded(ticket, known_host, view) {
         return Route::Refused(TicketRefusal::new(TicketRefusalReason::Unknown));
@@ -115,8 +116,9 @@
     })
 }
 
-/// A host of another region is often unknown here; its ticket has its address.
-fn route_unseen(ticket: &Ticket, holder: &HostInstance) -> Route {
+/// Routes to a holder whose host is unknown here, which is common for hosts of
+/// other regions; a ticket carries the address of its owner.
+fn route_to_unknown_host(ticket: &Ticket, holder: &HostInstance) -> Route {
     let owner = &ticket.body().owner;
     if owner.instance == *holder {
         return Route::Forward(owner.clone());
@@ -124,21 +126,21 @@
     Route::Refused(TicketRefusal::unreachable())
 }
 
-/// Whether the holder's host certainly has a newer run, so that the holder's
-/// table is gone and no successor will turn up any more.
+/// Whether the holder's host certainly runs a newer instance, so that the
+/// holder's table no longer exists and no successor will announce itself.
 ///
-/// Incarnations have no order, and the news may be older than the ticket: a
-/// ticket of a run that this host has not heard of yet must not be called
-/// unknown. In doubt the host itself is asked.
+/// Incarnations have no order, and the known state may be older than the
+/// ticket: a ticket of an instance that this host has not seen yet must not be
+/// reported as unknown. In doubt the call is forwarded to the host.
 fn is_superseded(ticket: &Ticket, known_host: &KnownHost, view: &RouteView<'_>) -> bool {
-    let is_other_run = known_host.incarnation != view.holder.incarnation;
+    let is_other_instance = known_host.incarnation != view.holder.incarnation;
     let is_newer = known_host.last_seen_ms >= ticket.body().issued_ms + HANDOVER_SETTLE_MS;
     let is_settled = view.now_ms >= known_host.first_seen_ms + HANDOVER_SETTLE_MS;
-    is_other_run && is_newer && is_settled
+    is_other_instance && is_newer && is_settled
 }
 
-/// Answer of a host for a ticket of its own earlier run.
-fn earlier_run(started_ms: Millis, now_ms: Millis) -> TicketRefusal {
+/// Refuses a ticket that an earlier instance of this host issued.
+fn refuse_earlier_instance(started_ms: Millis, now_ms: Millis) -> TicketRefusal {
     let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
     if now_ms < started_ms + HANDOVER_SETTLE_MS {
         return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
--- a/src/ticket/token.rs
+++ b/src/ticket/token.rs
@@ -1,10 +1,11 @@
-//! The ticket itself: what it names and how it is written and verified.
+//! Contents, encoding and verification of a ticket.
 //!
-//! A ticket carries ids only, no request data. Its text is a prefix, then
-//! `postcard` and a truncated HMAC-SHA256 in URL-safe base64, so every host with
-//! the cluster key can verify it without asking its owner. The prefix tells
-//! tickets from the keys that HTTP libraries make up for `Idempotency-Key`,
-//! such as UUIDs, which are valid base64 as well.
+//! A ticket carries ids only, no request data. Its text is a prefix, followed
+//! by the `postcard` encoding and a truncated HMAC-SHA256 in URL-safe base64,
+//! so every host with the cluster key can verify it without contacting its
+//! owner. The prefix distinguishes tickets from the keys that HTTP libraries
+//! generate for `Idempotency-Key`, such as UUIDs, which are valid base64 as
+//! well.
 
 use std::{
     fmt,
@@ -46,17 +47,18 @@
     }, //
 };
 
-/// Start of the text of every ticket; the number changes with the format.
+/// Prefix of the text of every ticket; the number is the format version.
 pub const TEXT_PREFIX: &str = "t1.";
-/// Longest text of a ticket, in bytes; four ids of 64 bytes give about 470.
+/// Maximum length of a ticket's text; four ids of 64 bytes give about 470
+/// bytes.
 pub const MAX_TICKET_TEXT_BYTES: usize = 512;
-/// Shortest cluster key, in bytes.
+/// Minimum length of the cluster key.
 pub const MIN_KEY_BYTES: usize = 32;
 const TAG_BYTES: usize = 16;
-/// Separates ticket tags from the tags of messages under the same key.
+/// Domain separator: messages between hosts use the same key.
 const TAG_DOMAIN: &[u8] = b"cardamombridge ticket 1\0";
 
-/// One ticket, drawn at random; the number is the `Idempotency-Key` of one call.
+/// Id of a ticket, drawn at random; it identifies one call.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -69,12 +71,12 @@
     }
 }
 
-/// One run of one host.
+/// One process lifetime of a host, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostInstance {
     /// The host.
     pub host: HostId,
-    /// The run; the next run of the same host has another one.
+    /// Identifies the instance; each start of the host has another one.
     pub incarnation: Incarnation,
 }
 
@@ -84,10 +86,10 @@
     }
 }
 
-/// The run of a host that owns tickets.
+/// A host instance that owns tickets, and how to reach it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TicketOwner {
-    /// The run; another run of the same host is not the owner.
+    /// The instance; another instance of the same host is not the owner.
     pub instance: HostInstance,
     /// Its region.
     pub region: RegionId,
@@ -95,12 +97,12 @@
     pub peer_address: SocketAddr,
 }
 
-/// What a ticket says.
+/// Contents of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketBody {
-    /// Names the ticket in its owner's table.
+    /// Identifies the ticket in its owner's table.
     pub id: TicketId,
-    /// The run that issued it and may run the call.
+    /// The host instance that issued it and may run the call.
     pub owner: TicketOwner,
     /// The caller it was issued to.
     pub caller: CallerId,
@@ -117,34 +119,35 @@
 pub struct Ticket(TicketBody);
 
 impl Ticket {
-    /// For the table that issues it.
+    /// Wraps a body that the calling table issues.
     pub(super) fn new(body: TicketBody) -> Self {
         Self(body)
     }
 
-    /// What the ticket says.
+    /// Returns the contents of the ticket.
     pub fn body(&self) -> &TicketBody {
         &self.0
     }
 }
 
-/// Who presents a ticket and for what.
+/// Who presents a ticket and for what, to be checked against its contents.
 #[derive(Debug, Clone)]
 pub struct VerifyContext<'a> {
     /// The authenticated caller.
     pub caller: &'a CallerId,
-    /// The service of the call; `None` when only the state is asked for.
+    /// The service of the call; `None` skips the check, as for a query of the
+    /// state.
     pub service: Option<&'a ServiceId>,
     /// Regions that the caller's intent allows now.
     pub allowed: &'a AllowedRegions,
-    /// Time at this host.
+    /// Current time at this host.
     pub now_ms: Millis,
 }
 
 /// Why a ticket is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TicketError {
-    /// The text does not look like a ticket; nothing ever runs under it.
+    /// The text does not have the form of a ticket; no call ever runs under it.
     #[error("key is not a ticket: expected a text that starts with {TEXT_PREFIX:?}")]
     Malformed,
     /// The ticket is damaged, or its tag does not match.
@@ -165,7 +168,7 @@
 }
 
 impl TicketError {
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status of the refusal.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 428,
@@ -175,10 +178,11 @@
         }
     }
 
-    /// What is known about the call, given that this request was not sent.
+    /// Returns the run state of the call, given that this request was not sent.
     ///
-    /// Only a text that never was a ticket is `not_run`. A tag can also fail
-    /// because the cluster key was replaced after the call had run.
+    /// Only a text that never was a ticket is `not_run`. The verification of a
+    /// tag can also fail because the cluster key was replaced after the call
+    /// had run.
     pub fn run_state(self, request: Unsent) -> RunState {
         match self {
             Self::Malformed => RunState::NotRun(request.give_up()),
@@ -195,7 +199,7 @@
     pub bytes: usize,
 }
 
-/// Writes and verifies tickets under the cluster key.
+/// Encodes and verifies tickets with the cluster key.
 #[derive(Clone)]
 pub struct TicketSigner {
     mac: Hmac<Sha256>,
@@ -208,7 +212,7 @@
 }
 
 impl TicketSigner {
-    /// A signer with the cluster key; fails if the key is too short.
+    /// Returns a signer with the cluster key; fails if the key is too short.
     pub fn new(key: &[u8]) -> Result<Self, KeyError> {
         let too_short = KeyError { bytes: key.len() };
         if key.len() < MIN_KEY_BYTES {
@@ -218,7 +222,7 @@
         Ok(Self { mac })
     }
 
-    /// The text of a ticket, for the `Idempotency-Key` field.
+    /// Encodes a ticket as text for the `Idempotency-Key` field.
     pub fn encode(&self, ticket: &Ticket) -> Result<String, postcard::Error> {
         let mut bytes = postcard::to_allocvec(ticket.body())?;
         let tag = self.tag(&bytes);
@@ -228,10 +232,10 @@
         Ok(text)
     }
 
-    /// Verifies a text and that the caller may use it as context.
+    /// Decodes a ticket, and verifies its tag and that `context` may use it.
     ///
     /// Between its expiry and the end of [`STATE_RETENTION_MS`] a ticket is
-    /// still accepted here, because its owner may know how its call ended.
+    /// still accepted here, because its holder may know how its call ended.
     pub fn verify(&self, text: &str, context: &VerifyContext<'_>) -> Result<Ticket, TicketError> {
         let ticket = self.authenticate(text)?;
         let body = ticket.body();
