--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -19,7 +19,8 @@
 //!   '----expiry------------------------------> closed (expired)
 //! ```
 //!
-//! Only a closed ticket is `not_run`. An issued ticket is not: a repeat that is
+//! Of the run states (see [`crate::outcome`]), only a closed ticket has
+//! `not_run`. An issued ticket does not: a repeat that is
 //! still in transit could start it after the caller has acted on the answer. A
 //! finished answer is kept until the ticket expires, every state until
 //! [`STATE_RETENTION_MS`] later. A ticket that the table has forgotten, or that
--- a/src/ticket_thread.rs
+++ b/src/ticket_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the ticket table, and the queue that leads to it.
+//! The thread that owns the ticket table, and its job queue.
 
 use std::{
     thread::{
@@ -28,7 +28,7 @@
 
 type Job = Box<dyn FnOnce(&mut TicketTable, Millis) + Send>;
 
-/// Leads jobs to the thread that owns the ticket table.
+/// Sends jobs to the thread that owns the ticket table.
 #[derive(Clone)]
 pub struct TicketTableHandle {
     queue: Sender<Job>,
@@ -44,29 +44,30 @@
         Ok((Self { queue }, thread))
     }
 
-    /// Runs `job` on the table, unless the queue is full.
+    /// Runs `job` on the table and returns its result, unless the queue is
+    /// full.
     pub fn run<F, T>(&self, job: F) -> Result<T, RingFull>
     where
         F: FnOnce(&mut TicketTable, Millis) -> T + Send + 'static,
         T: Send + 'static,
     {
-        let (job, answer) = job_with_result(job);
+        let (job, result) = job_with_result(job);
         self.queue.try_send(job).map_err(|error| match error {
             TrySendError::Full(_) | TrySendError::Disconnected(_) => RingFull,
         })?;
-        answer.recv().map_err(|_| RingFull)
+        result.recv().map_err(|_| RingFull)
     }
 
-    /// Runs `job` on the table and waits for room; for ends of calls, which must
-    /// not be lost.
+    /// Runs `job` on the table and returns its result; waits while the queue is
+    /// full. For records of the end of a call, which must not be lost.
     pub fn run_blocking<F, T>(&self, job: F) -> Result<T, RingFull>
     where
         F: FnOnce(&mut TicketTable, Millis) -> T + Send + 'static,
         T: Send + 'static,
     {
-        let (job, answer) = job_with_result(job);
+        let (job, result) = job_with_result(job);
         self.queue.send(job).map_err(|_| RingFull)?;
-        answer.recv().map_err(|_| RingFull)
+        result.recv().map_err(|_| RingFull)
     }
 }
 
@@ -77,7 +78,8 @@
 {
     let (sender, receiver) = bounded(1);
     let job: Job = Box::new(move |table, now_ms| {
-        // The asking thread may have ended with its connection.
+        // The thread that waits for the result may have ended with its
+        // connection.
         let _ = sender.send(job(table, now_ms));
     });
     (job, receiver)
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -1,9 +1,8 @@
-//! Calls that must not be repeated: the thread that owns the ticket table and
-//! the way of a call through it.
+//! Serves calls that must not be repeated, with tickets.
 //!
-//! Any host takes a ticketed call. The host that owns the ticket runs it; every
-//! other host forwards it there and passes the answer on. Only the owner can say
-//! that a call did not run.
+//! Every host accepts ticketed calls. The host that holds the ticket runs the
+//! call; every other host forwards it there and passes on the answer. Only the
+//! holder can report that a call did not run.
 
 use std::{
     sync::Arc,
@@ -95,25 +94,25 @@
 pub const TICKET_FIELD: &str = "idempotency-key";
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(60);
 const MAX_ANSWER_BYTES: usize = 17 * 1024 * 1024;
-/// When to come back after the ring of the table was full.
+/// Retry time when the job queue of the ticket table is full.
 const FULL_QUEUE_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// What ticketed calls need.
+/// What a host needs to serve ticketed calls.
 #[derive(Clone)]
 pub struct TicketContext {
-    /// Leads to the ticket table.
+    /// The ticket table of this host.
     pub table: TicketTableHandle,
-    /// Writes and verifies tickets.
+    /// Encodes and verifies tickets.
     pub signer: TicketSigner,
     /// This host.
     pub this_host: TicketOwner,
-    /// When it started.
+    /// Instant at which it started.
     pub started_ms: Millis,
-    /// What requests need on their way.
+    /// What requests need to reach an endpoint or another host.
     pub relay: RelayContext,
 }
 
-/// Whom a ticket is for.
+/// Who a ticket is for.
 #[derive(Debug, Clone)]
 pub struct TicketCaller {
     /// The authenticated caller.
@@ -122,14 +121,14 @@
     pub allowed: AllowedRegions,
 }
 
-/// What is asked of a ticket.
+/// What a caller requests for a ticket.
 #[derive(Debug)]
 pub enum TicketRequest {
-    /// Run its call.
+    /// Runs its call.
     Call(Box<Exchange>, CallDigest),
-    /// Tell its state.
+    /// Returns its state.
     State,
-    /// Close it unless it has started.
+    /// Voids it unless its call has started.
     Void,
 }
 
@@ -153,7 +152,7 @@
         self.signer.encode(&ticket).map_err(|_| busy)
     }
 
-    /// The refusal of a call that has no ticket, with a fresh one.
+    /// Refuses a call that has no ticket; the answer carries a new one.
     pub fn ticket_required(&self, to: &TicketCaller, service: &ServiceId) -> PlainAnswer {
         match self.issue(to, service) {
             Ok(text) => {
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Serves what a caller of this host asks of a ticket.
+    /// Serves a request for a ticket from a caller of this host.
     pub fn serve(
         &self,
         text: &str,
@@ -177,7 +176,7 @@
     ) -> PlainAnswer {
         let ticket = match (self.verify(text, from, service), service) {
             (Ok(ticket), _) => ticket,
-            // Nothing ever ran under a key that is no ticket.
+            // No call ever ran under a key that is no ticket.
             (Err(TicketError::Malformed), Some(service)) => {
                 return self.ticket_required(from, service);
             }
@@ -191,7 +190,8 @@
         }
     }
 
-    /// Serves what another host asks of a ticket; this host is the last one.
+    /// Serves a request for a ticket that another host forwarded; it is not
+    /// forwarded again.
     pub fn serve_forwarded(
         &self,
         text: &str,
@@ -232,8 +232,8 @@
         from: &TicketCaller,
         is_forwarded: bool,
     ) -> Result<Route, RingFull> {
-        let asked = ticket.clone();
-        let is_held_here = self.table.run(move |table, _| table.holds(&asked))?;
+        let ticket_copy = ticket.clone();
+        let is_held_here = self.table.run(move |table, _| table.holds(&ticket_copy))?;
         let now_ms = clock::now();
         let owner = ticket.body().owner.instance.clone();
         let (holder, known_host) = self.relay.decider.query(move |gateway| {
@@ -271,10 +271,10 @@
     }
 
     fn begin_call(&self, ticket: &Ticket, exchange: Exchange, digest: CallDigest) -> PlainAnswer {
-        let asked = ticket.clone();
+        let ticket = ticket.clone();
         let begun = self
             .table
-            .run(move |table, now_ms| table.begin(&asked, digest, Unsent::new(), now_ms));
+            .run(move |table, now_ms| table.begin(&ticket, digest, Unsent::new(), now_ms));
         match begun {
             Ok(Begin::Started { permit, unsent }) => self.run_call(exchange, permit, unsent),
             Ok(Begin::Replay(kept)) => {
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Runs the one call of a ticket and records how it ended before anybody is
-    /// told.
+    /// Runs the call of a ticket and records how it ended before the answer is
+    /// sent.
     fn run_call(&self, exchange: Exchange, permit: Permit, unsent: Unsent) -> PlainAnswer {
         let request = exchange.arrival.request;
         let mut sink = AnswerSink::capture(request);
@@ -309,7 +309,7 @@
                     .table
                     .run_blocking(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
                 if !matches!(finished, Ok(Ok(()))) {
-                    tracing::warn!(%request, "the end of a ticketed call could not be recorded");
+                    tracing::warn!(%request, "could not record the end of a ticketed call; repeats get unknown");
                 }
                 return plain;
             }
@@ -335,7 +335,7 @@
         let closed = self
             .table
             .run_blocking(move |table, now_ms| table.give_up(permit, unsent, now_ms));
-        // Without the record, the same ticket might run later.
+        // If this was not recorded, the call might still run under this ticket.
         let state = match closed {
             Ok(Ok(closed)) => RunState::NotRun(closed.not_run),
             _ => RunState::Unknown,
@@ -350,7 +350,7 @@
             .table
             .run_blocking(move |table, now_ms| table.finish_unknown(permit, now_ms));
         if !matches!(recorded, Ok(Ok(()))) {
-            tracing::warn!(%request, "the end of a ticketed call could not be recorded");
+            tracing::warn!(%request, "could not record the end of a ticketed call; repeats get unknown");
         }
         let answer = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
         relay::log_given_up(request, &answer);
@@ -358,10 +358,10 @@
     }
 
     fn state(&self, ticket: &Ticket) -> PlainAnswer {
-        let asked = ticket.clone();
+        let ticket = ticket.clone();
         let state = self
             .table
-            .run(move |table, now_ms| table.state(&asked, now_ms));
+            .run(move |table, now_ms| table.state(&ticket, now_ms));
         match state {
             Ok(Ok(state)) => describe_state(&state),
             Ok(Err(refusal)) => PlainAnswer::from_refusal(&refusal),
@@ -370,10 +370,10 @@
     }
 
     fn void(&self, ticket: &Ticket) -> PlainAnswer {
-        let asked = ticket.clone();
+        let ticket = ticket.clone();
         let voided = self
             .table
-            .run(move |table, now_ms| table.void(&asked, now_ms));
+            .run(move |table, now_ms| table.void(&ticket, now_ms));
         match voided {
             Ok(Ok(closed)) => describe_state(&TicketState::Closed(closed)),
             Ok(Err(refusal)) => PlainAnswer::from_refusal(&refusal),
@@ -381,7 +381,8 @@
         }
     }
 
-    /// Asks the owner; whatever fails on the way, the call may have run.
+    /// Forwards a request to the holder; if that fails in any way, the call may
+    /// have run.
     fn forward(
         &self,
         text: &str,
@@ -409,13 +410,13 @@
         };
         let deadline = deadline.max(Instant::now() + Duration::from_secs(2));
         let deadline = deadline.min(Instant::now() + FORWARD_TIMEOUT);
-        match self.send_to_owner(owner, &frame, &body, deadline) {
+        match self.send_to_holder(owner, &frame, &body, deadline) {
             Some(answer) => answer,
             None => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
 
-    fn send_to_owner(
+    fn send_to_holder(
         &self,
         owner: &TicketOwner,
         frame: &Frame,
@@ -435,7 +436,11 @@
             .peers
             .ask(&question)
             .inspect_err(|error| {
-                tracing::debug!(host = %owner.instance.host, %error, "the owner did not answer");
+                tracing::debug!(
+                host = %owner.instance.host,
+                %error,
+                "the holder of a ticket did not answer; the caller gets unknown"
+                );
             })
             .ok()?;
         if answer.frame != Frame::TicketStatus {
@@ -444,7 +449,8 @@
         postcard::from_bytes(&answer.bytes).ok()
     }
 
-    /// Stops starting calls; the table is to go to `successor`.
+    /// Stops issuing tickets and starting calls, for a handover to `successor`;
+    /// returns whether it was possible.
     pub fn start_handover(&self, successor: HostInstance) -> bool {
         let started = self
             .table
@@ -452,13 +458,13 @@
         matches!(started, Ok(Ok(())))
     }
 
-    /// Ticketed calls in progress.
+    /// Returns the number of ticketed calls in progress.
     pub fn started_count(&self) -> usize {
         let count = self.table.run_blocking(|table, _| table.started_count());
         count.unwrap_or(0)
     }
 
-    /// Empties the table into the message for the successor.
+    /// Empties the table and returns the message for the successor.
     pub fn export(&self, intents: Arc<Intents>, successor_region: RegionId) -> Option<Vec<u8>> {
         let exported = self.table.run_blocking(move |table, now_ms| {
             let may_receive = |caller: &CallerId| {
@@ -471,7 +477,8 @@
         postcard::to_allocvec(&*handover).ok()
     }
 
-    /// Takes over the table of a leaving host; whether it is held here now.
+    /// Imports the ticket table of a leaving host; returns whether this host
+    /// now holds its tickets.
     pub fn import(&self, bytes: &[u8]) -> bool {
         let Ok(handover) = postcard::from_bytes::<Handover>(bytes) else {
             return false;
@@ -481,19 +488,25 @@
             .run_blocking(move |table, now_ms| table.import(&handover, now_ms));
         match imported {
             Ok(Ok(imported)) => {
-                tracing::info!(tickets = imported.accepted, "took over a ticket table");
+                tracing::info!(
+                    tickets = imported.accepted,
+                    "imported the ticket table of a leaving host"
+                );
                 true
             }
             Ok(Err(ImportError::AlreadyImported(_))) => true,
             Ok(Err(error)) => {
-                tracing::warn!(%error, "did not take over a ticket table");
+                tracing::warn!(
+                %error,
+                "refused the ticket table of a leaving host; its tickets may become unknown"
+                );
                 false
             }
             Err(RingFull) => false,
         }
     }
 
-    /// Runs whose tickets are decided here.
+    /// Returns the owners of the tickets that this host decides.
     pub fn owners(&self) -> Vec<HostInstance> {
         let owners = self
             .table
