--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -309,7 +309,10 @@
                     .table
                     .run_blocking(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
                 if !matches!(finished, Ok(Ok(()))) {
-                    tracing::warn!(%request, "could not record the end of a ticketed call; repeats get unknown");
+                    tracing::warn!(
+                        %request,
+                        "could not record the end of a ticketed call; repeats get unknown"
+                    );
                 }
                 return plain;
             }
@@ -350,7 +353,10 @@
             .table
             .run_blocking(move |table, now_ms| table.finish_unknown(permit, now_ms));
         if !matches!(recorded, Ok(Ok(()))) {
-            tracing::warn!(%request, "could not record the end of a ticketed call; repeats get unknown");
+            tracing::warn!(
+                %request,
+                "could not record the end of a ticketed call; repeats get unknown"
+            );
         }
         let answer = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
         relay::log_given_up(request, &answer);
@@ -437,9 +443,9 @@
             .ask(&question)
             .inspect_err(|error| {
                 tracing::debug!(
-                host = %owner.instance.host,
-                %error,
-                "the holder of a ticket did not answer; the caller gets unknown"
+                    host = %owner.instance.host,
+                    %error,
+                    "the holder of a ticket did not answer; the caller gets unknown"
                 );
             })
             .ok()?;
@@ -497,8 +503,8 @@
             Ok(Err(ImportError::AlreadyImported(_))) => true,
             Ok(Err(error)) => {
                 tracing::warn!(
-                %error,
-                "refused the ticket table of a leaving host; its tickets may become unknown"
+                    %error,
+                    "refused the ticket table of a leaving host; its tickets may become unknown"
                 );
                 false
             }
