--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_sending.rs
@@ -46,9 +46,9 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        endpoint.start(choice.work, now_ms);
+        endpoint.record_send(choice.work, now_ms);
         let call = &exchange.request.call;
-        endpoint.remember(call, now_ms + choice.first_event_ms as u64);
+        endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
         self.pending_update
             .record_send(&choice, endpoint.hash, call);
         let headers = EndpointHeaders {
