--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -126,7 +126,7 @@
     ticket::{
         call::{
             CallDigest,
-            KeptAnswer, //
+            KeptResponse, //
         },
         table::{
             Begin,
@@ -1262,8 +1262,8 @@
             let Begin::Started { permit, unsent } = begun else {
                 anyhow::bail!("ticket {number} did not start");
             };
-            let answer = KeptAnswer::new(200, vec![0; ANSWER_BYTES]);
-            table.finish(permit, unsent.mark_sent(), answer, START_MS)?;
+            let response = KeptResponse::new(200, vec![0; ANSWER_BYTES]);
+            table.finish(permit, unsent.mark_sent(), response, START_MS)?;
         }
         cpu.push(point(tickets, micros(timer.elapsed())));
         text_bytes.push(point(tickets, bytes as f64));
--- a/src/plain_answer.rs
+++ b/src/plain_answer.rs
@@ -16,7 +16,7 @@
     peer::frame::Field,
     recorder::Ending,
     ticket::{
-        call::KeptAnswer,
+        call::KeptResponse,
         refusal::TicketRefusal, //
     },
     upstream, //
@@ -72,7 +72,7 @@
     }
 
     /// An answer that was kept.
-    pub fn from_kept(kept: &KeptAnswer) -> Self {
+    pub fn from_kept(kept: &KeptResponse) -> Self {
         let fields = kept.fields.iter().map(|field| Field {
             name: field.name.clone(),
             value: field.value.clone(),
--- a/src/ticket/call.rs
+++ b/src/ticket/call.rs
@@ -1,4 +1,4 @@
-//! The digest of the call that a ticket is bound to, and its kept answer.
+//! The digest of the call that a ticket is bound to, and its kept response.
 
 use std::fmt;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// One header field of a kept answer.
+/// One header field of a kept response.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeptField {
     /// Name in lower case.
@@ -54,19 +54,19 @@
     pub value: CompactString,
 }
 
-/// A complete answer of an endpoint, kept so that it can be replayed.
+/// A complete response from an endpoint, kept so that it can be replayed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct KeptResponse {
     /// HTTP status.
     pub status: u16,
-    /// Header fields that describe the answer, without connection fields.
+    /// Header fields that describe the response, without connection fields.
     pub fields: Vec<KeptField>,
     /// Complete body.
     pub body: Vec<u8>,
 }
 
-impl KeptAnswer {
-    /// Returns an answer without header fields.
+impl KeptResponse {
+    /// Returns a response without header fields.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
--- a/src/ticket/handover.rs
+++ b/src/ticket/handover.rs
@@ -9,7 +9,7 @@
 use super::{
     call::{
         CallDigest,
-        KeptAnswer, //
+        KeptResponse, //
     },
     refusal::ClosedReason,
     token::{
@@ -32,8 +32,8 @@
 pub enum HandoverState {
     /// Not started; the successor may run the call.
     Issued,
-    /// Completed; the answer if it is still kept.
-    Finished(Option<KeptAnswer>),
+    /// Completed; the response if it is still kept.
+    Finished(Option<KeptResponse>),
     /// Never ran and never will.
     Closed(ClosedReason),
     /// May have run.
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -12,7 +12,7 @@
 //! # States
 //!
 //! ```text
-//! issued --begin--> started --finish---------> finished (answer kept)
+//! issued --begin--> started --finish---------> finished (response kept)
 //!   |  ^               | |----finish_unknown-> unknown
 //!   |  '---release-----' '----give_up--------> closed (given up)
 //!   |----void--------------------------------> closed (voided)
@@ -20,9 +20,9 @@
 //! ```
 //!
 //! Of the run states (see [`crate::outcome`]), only a closed ticket has
-//! `not_run`. An issued ticket does not: a repeat that is
-//! still in transit could start it after the caller has acted on the answer. A
-//! finished answer is kept until the ticket expires, every state until
+//! `not_run`. An issued ticket does not: a repeat that is still in transit
+//! could start it after the caller has acted on the response. A finished
+//! response is kept until the ticket expires, every state until
 //! [`STATE_RETENTION_MS`] later. A ticket that the table has forgotten, or that
 //! an earlier instance of the host issued, is unknown.
 //!
@@ -32,16 +32,17 @@
 //!
 //! 1. Authenticate the caller, compute its [`AllowedRegions`], and read the
 //!    complete request, because the ticket is bound to the digest of its body.
-//! 2. Without a ticket, [`issue`] one and answer
-//!    [`TicketRefusal::ticket_required`] with it in the field
-//!    `Idempotency-Key` and in the body, or [`TicketRefusal::cannot_issue`].
-//! 3. With one, [`verify`] it; on failure answer [`TicketError::status`] and
-//!    [`TicketError::run_state`]. A key that is no ticket is 428 as well and
-//!    gets a new ticket.
+//! 2. Without a ticket, [`issue`] one and respond with
+//!    [`TicketRefusal::ticket_required`] and the ticket in the field
+//!    `Idempotency-Key` and in the body, or with
+//!    [`TicketRefusal::cannot_issue`].
+//! 3. With one, [`verify`] it; on failure respond with
+//!    [`TicketError::status`] and [`TicketError::run_state`]. A key that is no
+//!    ticket is 428 as well and gets a new ticket.
 //! 4. Call [`route`]. It selects the ticket's holder, the instance that decides
 //!    it now, or returns a refusal. A forwarding host passes on the holder's
-//!    answer. If that is missing or incomplete the forwarding host answers
-//!    [`TicketRefusal::unreachable`], also if it could not connect: an earlier
+//!    response. If that is missing or incomplete the forwarding host responds
+//!    with [`TicketRefusal::unreachable`], also if it could not connect: an earlier
 //!    copy of the call may have arrived. It must never turn its own
 //!    [`Unsent`] into `not_run`.
 //!
@@ -52,20 +53,20 @@
 //!    of an endpoint with the `Unsent`. While no byte has been sent, another
 //!    endpoint may be tried with the same permit.
 //! 3. Call [`Unsent::mark_sent`] before the first byte is written.
-//! 4. When the answer is complete, call [`finish`], whatever its status, before
-//!    its last byte is relayed, so that a repeat finds it.
+//! 4. When the response is complete, call [`finish`], whatever its status,
+//!    before its last byte is relayed, so that a repeat finds it.
 //! 5. When it is not, call [`finish_unknown`]; the caller gets 502 `unknown`.
 //! 6. When no byte was sent and the call is refused (admission, deadline, no
 //!    endpoint), call [`give_up`]; the caller gets 503 `not_run`, `Retry-After`
-//!    and a new ticket. If nobody receives an answer, because the caller has
+//!    and a new ticket. If nobody receives a response, because the caller has
 //!    disconnected, call [`release`] instead: the caller may repeat the call
 //!    with this ticket.
 //!
 //! A permit that is lost with its thread leaves the ticket started, which is
 //! safe. A [`StalePermit`](table::StalePermit) means that the table was handed
-//! over; relay the answer, but report `unknown` instead of `not_run`.
+//! over; relay the response, but report `unknown` instead of `not_run`.
 //!
-//! # Answers
+//! # Responses
 //!
 //! Status, run state and `Retry-After` come from [`TicketRefusal`]:
 //!
@@ -78,20 +79,20 @@
 //! | no ticket, none can be issued | 503 | `not_run` | until one is forgotten |
 //! | no ticket, host outside the allowed regions | 421 | `not_run` | |
 //! | started | 409 | `unknown` | 1 s |
-//! | finished, answer kept | as kept, `Idempotent-Replayed: true` | | |
-//! | finished, answer not kept | 409 | `unknown` | |
+//! | finished, response kept | as kept, `Idempotent-Replayed: true` | | |
+//! | finished, response not kept | 409 | `unknown` | |
 //! | closed: voided, expired or given up | 410 with a new ticket | `not_run` | |
 //! | unknown | 409 | `unknown` | |
 //! | bound to a call with another digest | 409 | `unknown` | |
 //! | issued, host is leaving | 503 | `unknown` | 3 s, same ticket |
-//! | issued, no room for an answer | 503 | `unknown` | until room is freed |
+//! | issued, no room for a response | 503 | `unknown` | until room is freed |
 //! | holder not reachable | 502 | `unknown` | 2 s |
 //! | earlier instance, a successor may still import its table | 409 | `unknown` | 2 s |
 //!
-//! The call with another digest is not run, yet the answer is not `not_run`: a
-//! caller that builds its body again for a repeat would take that as the
-//! outcome of its first call. `GET /v1/tickets/TICKET` answers 200 with
-//! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` answers 200
+//! The call with another digest is not run, yet the response is not `not_run`:
+//! a caller that builds its body again for a repeat would take that as the
+//! outcome of its first call. `GET /v1/tickets/TICKET` returns 200 with
+//! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` returns 200
 //! `not_run` if [`void`] succeeds.
 //!
 //! # Handover at shutdown
@@ -142,5 +143,5 @@
 /// How long a state is kept after its ticket has expired.
 ///
 /// A caller whose connection broke shortly before the expiry can still query
-/// the outcome. After this time every host answers `unknown`.
+/// the outcome. After this time every host reports `unknown`.
 pub const STATE_RETENTION_MS: Millis = Millis(10 * 60 * 1000);
--- a/src/ticket/refusal.rs
+++ b/src/ticket/refusal.rs
@@ -1,5 +1,5 @@
-//! The refusal that a caller receives when a ticketed call gets no answer of an
-//! endpoint.
+//! The refusal that a caller receives when a ticketed call gets no response
+//! from an endpoint.
 
 use std::fmt;
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why a ticketed call gets no answer of an endpoint.
+/// Why a ticketed call gets no response from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TicketRefusalReason {
     /// The call needs a ticket and has none.
@@ -80,14 +80,15 @@
     InProgress,
     /// The ticket belongs to a call with another method, path or body.
     OtherCall,
-    /// The call ran and its answer is not kept, or the ticket cannot be voided.
+    /// The call ran and its response is not kept, or the ticket cannot be
+    /// voided.
     AlreadyFinished,
     /// It is not known whether the call ran.
     Unknown,
     /// The table starts no calls because its host is leaving the cluster.
     Leaving,
-    /// The table has no room for one more answer.
-    AnswersFull,
+    /// The table has no room for one more response.
+    ResponsesFull,
     /// The holder of the ticket cannot be reached from this host.
     Unreachable,
 }
@@ -97,9 +98,9 @@
 pub struct TicketRefusal {
     /// Reason of the refusal.
     pub reason: TicketRefusalReason,
-    /// Time after which a repeat with the same ticket can get another answer,
+    /// Time after which a repeat with the same ticket can get another response,
     /// or, with [`TicketRefusalReason::CannotIssue`], after which a ticket may
-    /// be issued. `None` if a repeat always gets this answer.
+    /// be issued. `None` if a repeat always gets this response.
     pub retry_after_ms: Option<Millis>,
 }
 
@@ -118,7 +119,7 @@
         self
     }
 
-    /// Refuses a call without a ticket; the answer carries a new one.
+    /// Refuses a call without a ticket; the response carries a new one.
     pub fn ticket_required(request: Unsent) -> Self {
         Self::new(TicketRefusalReason::TicketRequired(request.give_up()))
     }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Refuses a call whose holder did not answer, whether or not bytes were
+    /// Refuses a call whose holder did not respond, whether or not bytes were
     /// sent.
     pub fn unreachable() -> Self {
         Self::new(TicketRefusalReason::Unreachable).with_retry_after(UNREACHABLE_RETRY_MS)
@@ -153,7 +154,7 @@
             TicketRefusalReason::CannotIssue(IssueError::OutsideResidency, _) => 421,
             TicketRefusalReason::CannotIssue(..)
             | TicketRefusalReason::Leaving
-            | TicketRefusalReason::AnswersFull => 503,
+            | TicketRefusalReason::ResponsesFull => 503,
             TicketRefusalReason::Closed(_) => 410,
             TicketRefusalReason::InProgress
             | TicketRefusalReason::OtherCall
@@ -174,12 +175,12 @@
             | TicketRefusalReason::AlreadyFinished
             | TicketRefusalReason::Unknown
             | TicketRefusalReason::Leaving
-            | TicketRefusalReason::AnswersFull
+            | TicketRefusalReason::ResponsesFull
             | TicketRefusalReason::Unreachable => RunState::Unknown,
         }
     }
 
-    /// Returns the error code for the body of the answer.
+    /// Returns the error code for the body of the response.
     pub fn code(&self) -> &'static str {
         match self.reason {
             TicketRefusalReason::TicketRequired(_) => "ticket_required",
@@ -194,7 +195,7 @@
             TicketRefusalReason::AlreadyFinished => "ticket_already_finished",
             TicketRefusalReason::Unknown => "ticket_state_unknown",
             TicketRefusalReason::Leaving => "ticket_host_leaving",
-            TicketRefusalReason::AnswersFull => "ticket_answers_full",
+            TicketRefusalReason::ResponsesFull => "ticket_answers_full",
             TicketRefusalReason::Unreachable => "ticket_host_unreachable",
         }
     }
--- a/src/ticket/route.rs
+++ b/src/ticket/route.rs
@@ -73,7 +73,7 @@
 /// Where a ticket is served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
-    /// By the table of this host, whose answer is final.
+    /// By the table of this host, whose response is final.
     Local,
     /// By this instance; the request is forwarded to it.
     Forward(TicketOwner),
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -15,7 +15,7 @@
     STATE_RETENTION_MS,
     call::{
         CallDigest,
-        KeptAnswer, //
+        KeptResponse, //
     },
     handover::{
         HANDOVER_VALID_MS,
@@ -66,10 +66,10 @@
     /// Maximum number of tickets of one caller, so that one caller cannot fill
     /// the table.
     pub max_tickets_per_caller: usize,
-    /// Maximum size of an answer that is kept.
-    pub max_answer_bytes: Bytes,
-    /// Maximum total of the kept answers and the room reserved for the answers
-    /// of calls in progress.
+    /// Maximum size of a response that is kept.
+    pub max_response_bytes: Bytes,
+    /// Maximum total of the kept responses and the room reserved for the
+    /// responses of calls in progress.
     pub max_kept_bytes: Bytes,
 }
 
@@ -79,7 +79,7 @@
             lifetime_ms: Millis(10 * 60 * 1000),
             max_tickets: 16_384,
             max_tickets_per_caller: 4_096,
-            max_answer_bytes: Bytes(64 * 1024),
+            max_response_bytes: Bytes(64 * 1024),
             max_kept_bytes: Bytes(8 * 1024 * 1024),
         }
     }
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns the error code for the body of the answer.
+    /// Returns the error code for the body of the response.
     pub fn code(self) -> &'static str {
         match self {
             Self::Leaving => "ticket_host_leaving",
@@ -182,8 +182,8 @@
         /// Proof that no byte of the call has been sent.
         unsent: Unsent,
     },
-    /// The call has already finished; its kept answer is sent again.
-    Replay(Arc<KeptAnswer>),
+    /// The call has already finished; its kept response is sent again.
+    Replay(Arc<KeptResponse>),
     /// The call must not be sent.
     Refused(TicketRefusal),
 }
@@ -195,8 +195,8 @@
     Issued,
     /// In progress.
     Started,
-    /// Finished; the answer if it is still kept.
-    Finished(Option<Arc<KeptAnswer>>),
+    /// Finished; the response if it is still kept.
+    Finished(Option<Arc<KeptResponse>>),
     /// Never ran and never will.
     Closed(Closed),
     /// May have run; this will not be known later either.
@@ -204,7 +204,7 @@
 }
 
 impl TicketState {
-    /// Returns the name of the state in answers to callers.
+    /// Returns the name of the state in responses to callers.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Issued => "issued",
@@ -226,7 +226,7 @@
     Issued(Unsent),
     /// One permit exists.
     Started,
-    Finished(Option<Arc<KeptAnswer>>),
+    Finished(Option<Arc<KeptResponse>>),
     Closed(Closed),
     Unknown,
 }
@@ -317,8 +317,8 @@
         self.entries.is_empty()
     }
 
-    /// Returns the size of the kept answers and of the room reserved for the
-    /// answers of calls in progress.
+    /// Returns the size of the kept responses and of the room reserved for the
+    /// responses of calls in progress.
     pub fn kept_bytes(&self) -> Bytes {
         self.kept_bytes
     }
@@ -427,7 +427,7 @@
         match &entry.state {
             State::Issued(_) => self.refuse_start(),
             State::Started => Some(Begin::Refused(TicketRefusal::in_progress())),
-            State::Finished(Some(answer)) => Some(Begin::Replay(Arc::clone(answer))),
+            State::Finished(Some(response)) => Some(Begin::Replay(Arc::clone(response))),
             State::Finished(None) => Some(refused(TicketRefusalReason::AlreadyFinished)),
             State::Closed(closed) => Some(refused(TicketRefusalReason::Closed(*closed))),
             State::Unknown => Some(refused(TicketRefusalReason::Unknown)),
@@ -438,10 +438,10 @@
         if !matches!(self.phase, Phase::Serving) {
             return Some(Begin::Refused(TicketRefusal::leaving()));
         }
-        let needed_bytes = self.kept_bytes + self.limits.max_answer_bytes;
+        let needed_bytes = self.kept_bytes + self.limits.max_response_bytes;
         if needed_bytes > self.limits.max_kept_bytes {
             let retry_after_ms = self.next_due_ms() - self.now_ms;
-            let refusal = TicketRefusal::new(TicketRefusalReason::AnswersFull)
+            let refusal = TicketRefusal::new(TicketRefusalReason::ResponsesFull)
                 .with_retry_after(retry_after_ms);
             return Some(Begin::Refused(refusal));
         }
@@ -458,39 +458,39 @@
             return refused(TicketRefusalReason::Unknown);
         };
         entry.digest = Some(digest);
-        self.kept_bytes = self.kept_bytes + self.limits.max_answer_bytes;
+        self.kept_bytes = self.kept_bytes + self.limits.max_response_bytes;
         let table = self.this_host.instance.clone();
         let permit = Permit { id, table };
         Begin::Started { permit, unsent }
     }
 
-    /// Ends a call that was sent and has a complete answer, whatever its
+    /// Ends a call that was sent and has a complete response, whatever its
     /// status.
     ///
-    /// An answer above [`TicketLimits::max_answer_bytes`] is not kept; the
-    /// answer to a repeat is then only that the call has finished.
+    /// A response above [`TicketLimits::max_response_bytes`] is not kept; a
+    /// repeat is then refused as already finished.
     pub fn finish(
         &mut self,
         permit: Permit,
         sent: Sent,
-        answer: KeptAnswer,
+        response: KeptResponse,
         now_ms: Millis,
     ) -> Result<(), StalePermit> {
         self.advance(now_ms);
         let _consumed = sent;
-        let size_bytes = answer.size_bytes();
-        let is_kept = size_bytes <= self.limits.max_answer_bytes;
+        let size_bytes = response.size_bytes();
+        let is_kept = size_bytes <= self.limits.max_response_bytes;
         let now_ms = self.now_ms;
         let entry = self.end(permit)?;
         let is_kept = is_kept && now_ms < entry.body.expires_ms;
-        entry.state = State::Finished(is_kept.then(|| Arc::new(answer)));
+        entry.state = State::Finished(is_kept.then(|| Arc::new(response)));
         if is_kept {
             self.kept_bytes = self.kept_bytes + size_bytes;
         }
         Ok(())
     }
 
-    /// Ends a call that may have been sent and has no complete answer.
+    /// Ends a call that may have been sent and has no complete response.
     pub fn finish_unknown(&mut self, permit: Permit, now_ms: Millis) -> Result<(), StalePermit> {
         self.advance(now_ms);
         self.end(permit)?;
@@ -545,7 +545,7 @@
         match entry.state {
             State::Started => {
                 entry.state = State::Unknown;
-                self.kept_bytes = self.kept_bytes - self.limits.max_answer_bytes;
+                self.kept_bytes = self.kept_bytes - self.limits.max_response_bytes;
                 Ok(entry)
             }
             _ => Err(stale),
@@ -579,7 +579,7 @@
         Ok(match &entry.state {
             State::Issued(_) => TicketState::Issued,
             State::Started => TicketState::Started,
-            State::Finished(answer) => TicketState::Finished(answer.clone()),
+            State::Finished(response) => TicketState::Finished(response.clone()),
             State::Closed(closed) => TicketState::Closed(*closed),
             State::Unknown => TicketState::Unknown,
         })
@@ -704,7 +704,9 @@
     fn insert_imported(&mut self, ticket: &HandoverTicket) {
         let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandoverState::Finished(answer) => State::Finished(self.keep_imported(answer.as_ref())),
+            HandoverState::Finished(response) => {
+                State::Finished(self.keep_imported(response.as_ref()))
+            }
             _ if is_of_this_host => State::Unknown,
             // The exporter dropped its own `Unsent` with the export.
             HandoverState::Issued => State::Issued(Unsent::new()),
@@ -718,14 +720,14 @@
         });
     }
 
-    fn keep_imported(&mut self, answer: Option<&KeptAnswer>) -> Option<Arc<KeptAnswer>> {
-        let answer = answer?;
-        let kept_bytes = self.kept_bytes + answer.size_bytes();
+    fn keep_imported(&mut self, response: Option<&KeptResponse>) -> Option<Arc<KeptResponse>> {
+        let response = response?;
+        let kept_bytes = self.kept_bytes + response.size_bytes();
         if kept_bytes > self.limits.max_kept_bytes {
             return None;
         }
         self.kept_bytes = kept_bytes;
-        Some(Arc::new(answer.clone()))
+        Some(Arc::new(response.clone()))
     }
 
     fn find(&self, ticket: &Ticket) -> Result<&Entry, TicketRefusal> {
@@ -801,8 +803,8 @@
             return;
         };
         let freed_bytes = match &entry.state {
-            State::Started => self.limits.max_answer_bytes,
-            State::Finished(Some(answer)) => answer.size_bytes(),
+            State::Started => self.limits.max_response_bytes,
+            State::Finished(Some(response)) => response.size_bytes(),
             _ => Bytes(0),
         };
         self.kept_bytes = self.kept_bytes - freed_bytes;
@@ -828,7 +830,7 @@
     }
 }
 
-/// Applies the expiry to a state and returns the bytes of the answer that is
+/// Applies the expiry to a state and returns the bytes of the response that is
 /// dropped.
 fn expire(state: &mut State) -> Bytes {
     match std::mem::replace(state, State::Unknown) {
@@ -836,9 +838,9 @@
             *state = State::Closed(Closed::new(ClosedReason::Expired, unsent));
             Bytes(0)
         }
-        State::Finished(answer) => {
+        State::Finished(response) => {
             *state = State::Finished(None);
-            answer.map_or(Bytes(0), |answer| answer.size_bytes())
+            response.map_or(Bytes(0), |response| response.size_bytes())
         }
         before => {
             *state = before;
@@ -851,7 +853,7 @@
     let state = match entry.state {
         State::Issued(_) => HandoverState::Issued,
         State::Started | State::Unknown => HandoverState::Unknown,
-        State::Finished(answer) => HandoverState::Finished(answer.as_deref().cloned()),
+        State::Finished(response) => HandoverState::Finished(response.as_deref().cloned()),
         State::Closed(closed) => HandoverState::Closed(closed.reason),
     };
     HandoverTicket {
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -1,8 +1,8 @@
 //! Serves calls that must not be repeated, with tickets.
 //!
 //! Every host accepts ticketed calls. The host that holds the ticket runs the
-//! call; every other host forwards it there and passes on the answer. Only the
-//! holder can report that a call did not run.
+//! call; every other host forwards it there and passes on the response. Only
+//! the holder can report that a call did not run.
 
 use std::{
     sync::Arc,
@@ -50,7 +50,7 @@
     ticket::{
         call::{
             CallDigest,
-            KeptAnswer, //
+            KeptResponse, //
         },
         handover::{
             Handover,
@@ -93,7 +93,7 @@
 /// Header field that carries a ticket.
 pub const TICKET_FIELD: &str = "idempotency-key";
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(60);
-const MAX_ANSWER_BYTES: usize = 17 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 17 * 1024 * 1024;
 /// Retry time when the job queue of the ticket table is full.
 const FULL_QUEUE_RETRY_AFTER_MS: Millis = Millis(1_000);
 
@@ -152,7 +152,7 @@
         self.signer.encode(&ticket).map_err(|_| busy)
     }
 
-    /// Refuses a call that has no ticket; the answer carries a new one.
+    /// Refuses a call that has no ticket; the response carries a new one.
     pub fn ticket_required(&self, to: &TicketCaller, service: &ServiceId) -> PlainAnswer {
         match self.issue(to, service) {
             Ok(text) => {
@@ -180,7 +180,7 @@
             (Err(TicketError::Malformed), Some(service)) => {
                 return self.ticket_required(from, service);
             }
-            (Err(error), _) => return PlainAnswer::from_error(&ticket_error_answer(error)),
+            (Err(error), _) => return PlainAnswer::from_error(&ticket_error_response(error)),
         };
         match self.route(&ticket, from, false) {
             Ok(Route::Local) => self.serve_local(&ticket, request),
@@ -200,7 +200,7 @@
     ) -> PlainAnswer {
         let ticket = match self.verify(text, from, None) {
             Ok(ticket) => ticket,
-            Err(error) => return PlainAnswer::from_error(&ticket_error_answer(error)),
+            Err(error) => return PlainAnswer::from_error(&ticket_error_response(error)),
         };
         match self.route(&ticket, from, true) {
             Ok(Route::Local) => self.serve_local(&ticket, request),
@@ -285,23 +285,23 @@
         }
     }
 
-    /// Runs the call of a ticket and records how it ended before the answer is
-    /// sent.
+    /// Runs the call of a ticket and records how it ended before the response
+    /// is sent.
     fn run_call(&self, exchange: Exchange, permit: Permit, unsent: Unsent) -> PlainAnswer {
         let request = exchange.arrival.request;
         let mut sink = AnswerSink::capture(request);
         let (settlement, _) = relay::carry(&self.relay, exchange, unsent, &mut sink);
         let (refusal, claim) = match settlement {
             Settlement::Answered(sent) => {
-                let Some(answer) = sink.into_captured() else {
+                let Some(response) = sink.into_captured() else {
                     return self.end_unknown(
                         request,
                         permit,
                         Refusal::new(RefusalReason::NoEndpoint),
                     );
                 };
-                let mut kept = KeptAnswer::new(answer.status, answer.body);
-                for field in answer.headers.iter() {
+                let mut kept = KeptResponse::new(response.status, response.body);
+                for field in response.headers.iter() {
                     kept = kept.with_field(&field.name, &field.value);
                 }
                 let plain = PlainAnswer::from_kept(&kept);
@@ -343,9 +343,9 @@
             Ok(Ok(closed)) => RunState::NotRun(closed.not_run),
             _ => RunState::Unknown,
         };
-        let answer = ErrorAnswer::from_refusal(refusal, state);
-        relay::log_given_up(request, &answer);
-        PlainAnswer::from_error(&answer)
+        let response = ErrorAnswer::from_refusal(refusal, state);
+        relay::log_given_up(request, &response);
+        PlainAnswer::from_error(&response)
     }
 
     fn end_unknown(&self, request: RequestId, permit: Permit, refusal: Refusal) -> PlainAnswer {
@@ -358,9 +358,9 @@
                 "could not record the end of a ticketed call; repeats get unknown"
             );
         }
-        let answer = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
-        relay::log_given_up(request, &answer);
-        PlainAnswer::from_error(&answer)
+        let response = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
+        relay::log_given_up(request, &response);
+        PlainAnswer::from_error(&response)
     }
 
     fn state(&self, ticket: &Ticket) -> PlainAnswer {
@@ -417,7 +417,7 @@
         let deadline = deadline.max(Instant::now() + Duration::from_secs(2));
         let deadline = deadline.min(Instant::now() + FORWARD_TIMEOUT);
         match self.send_to_holder(owner, &frame, &body, deadline) {
-            Some(answer) => answer,
+            Some(response) => response,
             None => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
@@ -434,10 +434,10 @@
             address: owner.peer_address,
             request: frame,
             body,
-            limit_bytes: MAX_ANSWER_BYTES,
+            limit_bytes: MAX_RESPONSE_BYTES,
             deadline,
         };
-        let answer = self
+        let response = self
             .relay
             .peers
             .ask(&question)
@@ -445,14 +445,14 @@
                 tracing::debug!(
                     host = %owner.instance.host,
                     %error,
-                    "the holder of a ticket did not answer; the caller gets unknown"
+                    "the holder of a ticket did not respond; the caller gets unknown"
                 );
             })
             .ok()?;
-        if answer.frame != Frame::TicketStatus {
+        if response.frame != Frame::TicketStatus {
             return None;
         }
-        postcard::from_bytes(&answer.bytes).ok()
+        postcard::from_bytes(&response.bytes).ok()
     }
 
     /// Stops issuing tickets and starting calls, for a handover to `successor`;
@@ -535,7 +535,7 @@
     )
 }
 
-fn ticket_error_answer(error: TicketError) -> ErrorAnswer {
+fn ticket_error_response(error: TicketError) -> ErrorAnswer {
     ErrorAnswer::new(
         error.status(),
         "ticket_not_accepted",
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -27,7 +27,7 @@
     ticket::{
         call::{
             CallDigest,
-            KeptAnswer, //
+            KeptResponse, //
         },
         handover::{
             Handover, //
@@ -96,7 +96,7 @@
     ForgetsExport,
     /// The start of a call is recorded when it ends.
     RecordsStartLate,
-    /// A call without an answer is taken back as if it had not been sent.
+    /// A call without a response is taken back as if it had not been sent.
     ReleasesSentCall,
     /// A forwarder that cannot reach the owner says `not_run`.
     ForwarderSaysNotRun,
@@ -560,9 +560,11 @@
             return Ok(false);
         };
         let now_ms = self.clock(host);
-        let answer = KeptAnswer::new(200, b"ok".to_vec());
+        let response = KeptResponse::new(200, b"ok".to_vec());
         if let (Some(permit), Proof::Sent(sent)) = (flight.permit, flight.proof) {
-            let _stale = self.hosts[host].table.finish(permit, sent, answer, now_ms);
+            let _stale = self.hosts[host]
+                .table
+                .finish(permit, sent, response, now_ms);
         }
         Ok(true)
     }
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -1,5 +1,5 @@
 //! Guards the rules of the ticket table that the search over interleavings does
-//! not vary: binding, bounds, clocks, handover contents, routes and the answers.
+//! not vary: binding, bounds, clocks, handover contents, routes and the responses.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
         STATE_RETENTION_MS,
         call::{
             CallDigest,
-            KeptAnswer, //
+            KeptResponse, //
         },
         handover::{
             HANDOVER_VALID_MS,
@@ -63,7 +63,7 @@
     lifetime_ms: Millis(60_000),
     max_tickets: 4,
     max_tickets_per_caller: 3,
-    max_answer_bytes: Bytes(10),
+    max_response_bytes: Bytes(10),
     max_kept_bytes: Bytes(25),
 };
 
@@ -120,8 +120,8 @@
 
 fn finish(table: &mut TicketTable, ticket: &Ticket, body: &str) {
     let (permit, unsent) = start(table, ticket);
-    let answer = KeptAnswer::new(200, body.into());
-    let finished = table.finish(permit, unsent.mark_sent(), answer, START_MS);
+    let response = KeptResponse::new(200, body.into());
+    let finished = table.finish(permit, unsent.mark_sent(), response, START_MS);
     finished.expect("in progress");
 }
 
@@ -164,7 +164,7 @@
     assert!(matches!(same, Begin::Started { .. }));
 }
 
-/// Guards against answers that tell a caller less or more than is known.
+/// Guards against responses that tell a caller less or more than is known.
 #[test]
 fn each_state_has_its_answer() {
     let mut table = table("host-1", 1);
@@ -182,7 +182,7 @@
 
     assert_eq!(status_and_word(&repeat), (409, RunStateWord::Unknown));
     assert_eq!(repeat.retry_after_s(), Some(1));
-    assert!(matches!(replay, Begin::Replay(answer) if answer.body == b"done"));
+    assert!(matches!(replay, Begin::Replay(response) if response.body == b"done"));
     assert_eq!(status_and_word(&after_void), (410, RunStateWord::NotRun));
     assert_eq!(void_started.reason, TicketRefusalReason::InProgress);
     let required = TicketRefusal::ticket_required(Unsent::new());
@@ -235,17 +235,17 @@
     assert_eq!(again.code(), "ticket_expired");
 }
 
-/// Guards against an answer that arrives after the expiry and is kept for the
+/// Guards against a response that arrives after the expiry and is kept for the
 /// whole retention.
 #[test]
 fn an_answer_after_the_expiry_is_not_kept() {
     let mut table = table("host-1", 1);
     let ticket = issue(&mut table, 1);
     let (permit, unsent) = start(&mut table, &ticket);
-    let answer = KeptAnswer::new(200, b"done".to_vec());
+    let response = KeptResponse::new(200, b"done".to_vec());
     let expires_ms = ticket.body().expires_ms;
 
-    let ended = table.finish(permit, unsent.mark_sent(), answer, expires_ms);
+    let ended = table.finish(permit, unsent.mark_sent(), response, expires_ms);
 
     assert_eq!(ended, Ok(()));
     let state = table.state(&ticket, expires_ms);
@@ -313,8 +313,8 @@
     assert_eq!(refusal.retry_after_s(), Some(60));
 }
 
-/// Guards against answers that grow beyond the bound, and against a call that
-/// runs although its answer could not be kept.
+/// Guards against responses that grow beyond the bound, and against a call that
+/// runs although its response could not be kept.
 #[test]
 fn room_for_an_answer_is_reserved_before_the_call_starts() {
     let mut table = table("host-1", 1);
@@ -325,11 +325,11 @@
     let (permit, unsent) = start(&mut table, &second);
 
     let full = refusal(begin_at(&mut table, &third, START_MS));
-    let too_large = KeptAnswer::new(200, vec![0; 11]);
+    let too_large = KeptResponse::new(200, vec![0; 11]);
     let ended = table.finish(permit, unsent.mark_sent(), too_large, START_MS);
     let repeat = refusal(begin_at(&mut table, &second, START_MS));
 
-    assert_eq!(full.reason, TicketRefusalReason::AnswersFull);
+    assert_eq!(full.reason, TicketRefusalReason::ResponsesFull);
     assert_eq!(status_and_word(&full), (503, RunStateWord::Unknown));
     assert_eq!(ended, Ok(()));
     assert_eq!(repeat.reason, TicketRefusalReason::AlreadyFinished);
@@ -353,7 +353,7 @@
     assert_eq!(issued, Err(IssueError::OutsideResidency));
 }
 
-/// Guards against a handover that loses answers or crosses residency, and
+/// Guards against a handover that loses responses or crosses residency, and
 /// against calls in progress that the successor would run again.
 #[test]
 fn a_handover_carries_answers_and_leaves_out_what_must_not_leave() {
@@ -379,7 +379,7 @@
     assert_eq!(imported.accepted, 2);
     assert!(late_release.is_err());
     let replay = begin_at(&mut new, &finished, START_MS);
-    assert!(matches!(replay, Begin::Replay(answer) if answer.body == b"done"));
+    assert!(matches!(replay, Begin::Replay(response) if response.body == b"done"));
     assert_eq!(new.state(&started, START_MS), Ok(TicketState::Unknown));
     let left_out = new.state(&foreign, START_MS).expect_err("left out");
     assert_eq!(left_out.reason, TicketRefusalReason::Unknown);
