--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -1,5 +1,5 @@
-//! Guards the rules of the ticket table that the search over interleavings does
-//! not vary: binding, bounds, clocks, handover contents, routes and the responses.
+//! Checks the rules of the ticket table that the search over interleavings does
+//! not vary: binding, limits, clocks, handover contents, routes and responses.
 
 use std::net::SocketAddr;
 
@@ -67,7 +67,7 @@
     max_kept_bytes: Bytes(25),
 };
 
-fn run(host: &str, incarnation: u64) -> HostInstance {
+fn instance(host: &str, incarnation: u64) -> HostInstance {
     HostInstance {
         host: host.parse().expect("host"),
         incarnation: Incarnation(incarnation),
@@ -76,7 +76,7 @@
 
 fn owner(host: &str, incarnation: u64) -> TicketOwner {
     TicketOwner {
-        instance: run(host, incarnation),
+        instance: instance(host, incarnation),
         region: "stred".parse().expect("region"),
         peer_address: SocketAddr::from(([127, 0, 0, 1], 7000)),
     }
@@ -132,21 +132,21 @@
     }
 }
 
-fn status_and_word(refusal: &TicketRefusal) -> (u16, RunStateWord) {
+fn status_and_run_state(refusal: &TicketRefusal) -> (u16, RunStateWord) {
     (refusal.status(), refusal.run_state().word())
 }
 
 fn hand_over(table: &mut TicketTable, to: HostInstance) -> Handover {
     table.start_handover(to).expect("start");
     let handover = table.export(|_| true, START_MS).expect("export");
-    // Takes the form in which hosts exchange it.
+    // Encodes and decodes it as hosts do when they exchange it.
     let bytes = postcard::to_allocvec(handover.as_ref()).expect("bytes");
     let received: Handover = postcard::from_bytes(&bytes).expect("handover");
     assert_eq!(received, *handover);
     received
 }
 
-/// Guards against a ticket that is used again for a changed order.
+/// Guards against a ticket that is used again for a call with another body.
 #[test]
 fn a_ticket_is_bound_to_its_first_call_even_after_a_release() {
     let mut table = table("host-1", 1);
@@ -160,13 +160,14 @@
 
     let other = refusal(other);
     assert_eq!(other.reason, TicketRefusalReason::OtherCall);
-    assert_eq!(status_and_word(&other), (409, RunStateWord::Unknown));
+    assert_eq!(status_and_run_state(&other), (409, RunStateWord::Unknown));
     assert!(matches!(same, Begin::Started { .. }));
 }
 
-/// Guards against responses that tell a caller less or more than is known.
+/// Guards against responses that report less or more than is known about a
+/// call.
 #[test]
-fn each_state_has_its_answer() {
+fn each_state_has_its_response() {
     let mut table = table("host-1", 1);
     let in_progress = issue(&mut table, 1);
     let (_permit, _unsent) = start(&mut table, &in_progress);
@@ -180,13 +181,16 @@
     let after_void = refusal(begin_at(&mut table, &voided, START_MS));
     let void_started = table.void(&in_progress, START_MS).expect_err("started");
 
-    assert_eq!(status_and_word(&repeat), (409, RunStateWord::Unknown));
+    assert_eq!(status_and_run_state(&repeat), (409, RunStateWord::Unknown));
     assert_eq!(repeat.retry_after_s(), Some(1));
     assert!(matches!(replay, Begin::Replay(response) if response.body == b"done"));
-    assert_eq!(status_and_word(&after_void), (410, RunStateWord::NotRun));
+    assert_eq!(
+        status_and_run_state(&after_void),
+        (410, RunStateWord::NotRun)
+    );
     assert_eq!(void_started.reason, TicketRefusalReason::InProgress);
     let required = TicketRefusal::ticket_required(Unsent::new());
-    assert_eq!(status_and_word(&required), (428, RunStateWord::NotRun));
+    assert_eq!(status_and_run_state(&required), (428, RunStateWord::NotRun));
 }
 
 /// Guards against a call that is given up and run later with the same ticket.
@@ -204,7 +208,8 @@
     assert_eq!(table.kept_bytes(), Bytes(0));
 }
 
-/// Guards against a ticket that revives when the host's clock is set back.
+/// Guards against an expired ticket that is valid again when the host's clock
+/// is set back.
 #[test]
 fn an_expired_ticket_stays_expired_when_the_clock_is_set_back() {
     let mut table = table("host-1", 1);
@@ -217,10 +222,10 @@
 
     assert_eq!(before, Ok(TicketState::Issued));
     assert_eq!(at.expect("decided here").as_str(), "expired");
-    assert_eq!(status_and_word(&again), (410, RunStateWord::NotRun));
+    assert_eq!(status_and_run_state(&again), (410, RunStateWord::NotRun));
 }
 
-/// Guards against a call that is taken back after the expiry and starts again,
+/// Guards against a call that is released after the expiry and starts again,
 /// also when the clock is set back in between.
 #[test]
 fn a_call_that_is_released_after_the_expiry_is_closed() {
@@ -236,9 +241,9 @@
 }
 
 /// Guards against a response that arrives after the expiry and is kept for the
-/// whole retention.
+/// complete retention time.
 #[test]
-fn an_answer_after_the_expiry_is_not_kept() {
+fn a_response_after_the_expiry_is_not_kept() {
     let mut table = table("host-1", 1);
     let ticket = issue(&mut table, 1);
     let (permit, unsent) = start(&mut table, &ticket);
@@ -253,8 +258,8 @@
     assert_eq!(table.kept_bytes(), Bytes(0));
 }
 
-/// Guards against a call that is ended by the permit of another table, or
-/// reported for a ticket of another host with the same number.
+/// Guards against a call that is ended by the permit of another table, or whose
+/// state is reported for another host's ticket with the same id.
 #[test]
 fn a_permit_of_another_table_changes_nothing() {
     let mut table_1 = table("host-1", 1);
@@ -271,10 +276,10 @@
     assert_eq!(table_2.state(&ticket_2, START_MS), Ok(TicketState::Started));
 }
 
-/// Guards against a started call that is forgotten with its ticket's expiry,
-/// and against memory that is kept for ever.
+/// Guards against a started call that is forgotten when its ticket expires, and
+/// against memory that is never freed.
 #[test]
-fn a_started_call_outlives_its_ticket_up_to_the_retention() {
+fn a_started_call_is_kept_until_the_end_of_the_retention_time() {
     let mut table = table("host-1", 1);
     let ticket = issue(&mut table, 1);
     let (permit, _unsent) = start(&mut table, &ticket);
@@ -294,7 +299,7 @@
 
 /// Guards against callers that fill the memory of a host with tickets.
 #[test]
-fn a_full_table_says_when_a_ticket_can_be_issued() {
+fn a_full_table_returns_when_a_ticket_can_be_issued() {
     let mut table = table("host-1", 1);
     for id in 0..3 {
         issue(&mut table, id);
@@ -309,14 +314,14 @@
     assert!(other_caller.is_ok());
     assert_eq!(any_caller, Err(IssueError::Full { retry_after_ms }));
     let refusal = TicketRefusal::cannot_issue(Unsent::new(), any_caller.expect_err("full"));
-    assert_eq!(status_and_word(&refusal), (503, RunStateWord::NotRun));
+    assert_eq!(status_and_run_state(&refusal), (503, RunStateWord::NotRun));
     assert_eq!(refusal.retry_after_s(), Some(60));
 }
 
-/// Guards against responses that grow beyond the bound, and against a call that
+/// Guards against responses that grow beyond the limit, and against a call that
 /// runs although its response could not be kept.
 #[test]
-fn room_for_an_answer_is_reserved_before_the_call_starts() {
+fn room_for_a_response_is_reserved_before_the_call_starts() {
     let mut table = table("host-1", 1);
     let first = issue(&mut table, 1);
     let second = issue(&mut table, 2);
@@ -330,7 +335,7 @@
     let repeat = refusal(begin_at(&mut table, &second, START_MS));
 
     assert_eq!(full.reason, TicketRefusalReason::ResponsesFull);
-    assert_eq!(status_and_word(&full), (503, RunStateWord::Unknown));
+    assert_eq!(status_and_run_state(&full), (503, RunStateWord::Unknown));
     assert_eq!(ended, Ok(()));
     assert_eq!(repeat.reason, TicketRefusalReason::AlreadyFinished);
     assert_eq!(table.state(&third, START_MS), Ok(TicketState::Issued));
@@ -353,17 +358,18 @@
     assert_eq!(issued, Err(IssueError::OutsideResidency));
 }
 
-/// Guards against a handover that loses responses or crosses residency, and
-/// against calls in progress that the successor would run again.
+/// Guards against a handover that loses responses or sends data outside the
+/// regions of its caller, and against calls in progress that the successor
+/// would run again.
 #[test]
-fn a_handover_carries_answers_and_leaves_out_what_must_not_leave() {
+fn a_handover_keeps_responses_and_leaves_out_excluded_callers() {
     let mut old = table("host-1", 1);
     let finished = issue(&mut old, 1);
     finish(&mut old, &finished, "done");
     let started = issue(&mut old, 2);
     let (permit, unsent) = start(&mut old, &started);
     let foreign = issue_to(&mut old, 3, "marcos").expect("ticket");
-    old.start_handover(run("host-2", 5)).expect("start");
+    old.start_handover(instance("host-2", 5)).expect("start");
     let leaving = refusal(begin_at(&mut old, &foreign, START_MS));
     let handover = old
         .export(|caller| caller.as_str() != "marcos", START_MS)
@@ -389,7 +395,8 @@
     assert!(!old.holds(&finished) && new.holds(&finished));
 }
 
-/// Guards against a handover that is imported by the wrong run, twice or late.
+/// Guards against a handover that is imported by the wrong instance, twice or
+/// late.
 #[test]
 fn a_handover_is_imported_once_by_its_addressee_in_time() {
     let mut old = table("host-1", 1);
@@ -398,32 +405,38 @@
         old.export(|_| true, START_MS),
         Err(HandoverError::NotLeaving)
     );
-    let handover = hand_over(&mut old, run("host-2", 5));
-    let mut next_run = table("host-2", 6);
+    let handover = hand_over(&mut old, instance("host-2", 5));
+    let mut next_instance = table("host-2", 6);
     let mut late = table("host-2", 5);
     let mut new = table("host-2", 5);
 
-    let wrong_run = next_run.import(&handover, START_MS);
+    let wrong_instance = next_instance.import(&handover, START_MS);
     let too_late = late.import(&handover, START_MS + HANDOVER_VALID_MS);
     let first = new.import(&handover, START_MS);
     new.void(&ticket, START_MS).expect("void");
     let second = new.import(&handover, START_MS);
 
-    assert!(matches!(wrong_run, Err(ImportError::NotAddressed { .. })));
+    assert!(matches!(
+        wrong_instance,
+        Err(ImportError::NotAddressed { .. })
+    ));
     assert!(matches!(too_late, Err(ImportError::Late { .. })));
     let one = Imported {
         accepted: 1,
         dropped: 0,
     };
     assert_eq!(first, Ok(one));
-    assert_eq!(second, Err(ImportError::AlreadyImported(run("host-1", 1))));
+    assert_eq!(
+        second,
+        Err(ImportError::AlreadyImported(instance("host-1", 1)))
+    );
     let state = new.state(&ticket, START_MS).expect("decided here");
     assert_eq!(state.as_str(), "voided");
 }
 
 /// Guards against handovers that fill the memory of the successor.
 #[test]
-fn an_import_is_bounded_and_what_it_drops_is_unknown() {
+fn an_import_is_limited_and_what_it_drops_is_unknown() {
     let mut new = table("host-2", 5);
     for incarnation in 1..=3 {
         let mut old = table("host-1", incarnation);
@@ -433,7 +446,7 @@
         for id in 1..3 {
             issue(&mut old, first_id + id);
         }
-        let handover = hand_over(&mut old, run("host-2", 5));
+        let handover = hand_over(&mut old, instance("host-2", 5));
 
         let imported = new.import(&handover, START_MS).expect("import");
 
@@ -444,21 +457,24 @@
     assert_eq!(new.kept_bytes(), Bytes(20));
 }
 
-/// Guards against a restarted host that gets its earlier run's tickets back
-/// through its successor and then contradicts what it has said about them.
+/// Guards against a restarted host that gets the tickets of its earlier
+/// instance back through its successor and then contradicts what it reported
+/// about them.
 #[test]
-fn a_restarted_host_never_says_not_run_for_its_earlier_run() {
+fn a_restarted_host_never_reports_not_run_for_its_earlier_instance() {
     let mut first = table("host-1", 1);
     let issued = issue(&mut first, 1);
     let finished = issue(&mut first, 2);
     finish(&mut first, &finished, "done");
     let mut second = table("host-2", 5);
-    let to_second = hand_over(&mut first, run("host-2", 5));
+    let to_second = hand_over(&mut first, instance("host-2", 5));
     second.import(&to_second, START_MS).expect("import");
-    let to_restarted = hand_over(&mut second, run("host-1", 2));
+    let to_restarted = hand_over(&mut second, instance("host-1", 2));
     let mut restarted = table("host-1", 2);
 
-    let before = restarted.state(&issued, START_MS).expect_err("not held");
+    let before = restarted
+        .state(&issued, START_MS)
+        .expect_err("not in the table");
     let settled_ms = START_MS + HANDOVER_SETTLE_MS;
     restarted
         .import(&to_restarted, START_MS)
@@ -483,14 +499,15 @@
     now_ms: Millis,
 }
 
-/// A host that hears from the owner and asks long after the ticket's issue.
+/// Returns the view of a host that receives heartbeats of the owner, long after
+/// the ticket was issued.
 fn case() -> Case {
     let late_ms = START_MS + HANDOVER_SETTLE_MS + HANDOVER_SETTLE_MS;
     Case {
         this_host: owner("host-3", 9),
         is_held_here: false,
         is_forwarded: false,
-        holder: run("host-1", 1),
+        holder: instance("host-1", 1),
         known_host: Some(KnownHost {
             incarnation: Incarnation(1),
             first_seen_ms: START_MS,
@@ -530,33 +547,35 @@
     }
 }
 
-/// Guards against a ticket that is decided where it is not held.
+/// Guards against a ticket that is decided by an instance other than its
+/// holder.
 #[test]
 fn a_ticket_goes_to_its_holder_and_no_further() {
-    let held = route_with(|case, _| case.is_held_here = true);
+    let local = route_with(|case, _| case.is_held_here = true);
     let live = route_with(|_, _| {});
-    let unseen = route_with(|case, _| case.known_host = None);
+    let unknown_host = route_with(|case, _| case.known_host = None);
     let forwarded = route_with(|case, _| case.is_forwarded = true);
     let outside = route_with(|_, known_host| known_host.region = "zapad".parse().expect("region"));
     let successor = route_with(|case, known_host| {
-        case.holder = run("host-2", 5);
+        case.holder = instance("host-2", 5);
         known_host.incarnation = Incarnation(5);
     });
 
-    assert_eq!(held, Route::Local);
-    assert!(matches!(live, Route::Forward(to) if to.instance == run("host-1", 1)));
-    assert_eq!(unseen, Route::Forward(owner("host-1", 1)));
+    assert_eq!(local, Route::Local);
+    assert!(matches!(live, Route::Forward(to) if to.instance == instance("host-1", 1)));
+    assert_eq!(unknown_host, Route::Forward(owner("host-1", 1)));
     assert_eq!(refused_with(forwarded).0, TicketRefusalReason::Unreachable);
     assert_eq!(refused_with(outside).0, TicketRefusalReason::Unreachable);
-    assert!(matches!(successor, Route::Forward(to) if to.instance == run("host-2", 5)));
+    assert!(matches!(successor, Route::Forward(to) if to.instance == instance("host-2", 5)));
 }
 
-/// Guards against a ticket that is called unknown for good too early, or never.
+/// Guards against a ticket that is reported as permanently unknown too early,
+/// or never.
 #[test]
-fn only_certain_news_of_another_run_is_final() {
-    let silent = route_with(|_, known_host| known_host.is_reachable = false);
-    let other_run = route_with(|_, known_host| known_host.incarnation = Incarnation(2));
-    let news_older_than_ticket = route_with(|_, known_host| {
+fn only_a_certainly_newer_instance_makes_a_ticket_permanently_unknown() {
+    let unreachable = route_with(|_, known_host| known_host.is_reachable = false);
+    let other_instance = route_with(|_, known_host| known_host.incarnation = Incarnation(2));
+    let last_seen_before_issue = route_with(|_, known_host| {
         known_host.incarnation = Incarnation(2);
         known_host.last_seen_ms = START_MS;
     });
@@ -568,15 +587,15 @@
         case.this_host = owner("host-1", 2);
         case.now_ms = START_MS;
     });
-    let own_earlier_run = route_with(|case, _| case.this_host = owner("host-1", 2));
+    let own_earlier_instance = route_with(|case, _| case.this_host = owner("host-1", 2));
     let own_after_export = route_with(|case, _| case.this_host = owner("host-1", 1));
 
-    assert!(refused_with(silent).1.is_some());
+    assert!(refused_with(unreachable).1.is_some());
     let final_unknown = (TicketRefusalReason::Unknown, None);
-    assert_eq!(refused_with(other_run), final_unknown);
-    assert!(matches!(news_older_than_ticket, Route::Forward(_)));
+    assert_eq!(refused_with(other_instance), final_unknown);
+    assert!(matches!(last_seen_before_issue, Route::Forward(_)));
     assert!(matches!(just_restarted, Route::Forward(_)));
     assert!(refused_with(own_just_started).1.is_some());
-    assert_eq!(refused_with(own_earlier_run), final_unknown);
+    assert_eq!(refused_with(own_earlier_instance), final_unknown);
     assert!(refused_with(own_after_export).1.is_some());
 }
--- a/tests/ticket_token.rs
+++ b/tests/ticket_token.rs
@@ -1,5 +1,6 @@
-//! Guards against tickets that are accepted from the wrong hands, and against
-//! a text that cannot be verified by another host with the same key.
+//! Guards against tickets that are accepted from a caller that they were not
+//! issued to, and against a text that another host with the same key cannot
+//! verify.
 
 use base64::{
     Engine,
@@ -120,17 +121,19 @@
     signer().encode(&ticket).expect("text")
 }
 
+/// Guards against hosts that cannot verify each other's tickets.
 #[test]
 fn a_ticket_is_verified_by_another_signer_with_the_same_key() {
     let ticket = issue("drevoton", "orders", "host-1");
 
-    let opened = Presenter::new().verify(&text()).expect("authentic");
+    let verified = Presenter::new().verify(&text()).expect("authentic");
 
-    assert_eq!(opened, ticket);
+    assert_eq!(verified, ticket);
 }
 
+/// Guards against a ticket with valid ids whose text is rejected as too long.
 #[test]
-fn the_longest_names_fit_the_longest_text() {
+fn the_longest_ids_fit_the_longest_text() {
     let name = "x".repeat(MAX_ID_BYTES);
 
     let ticket = issue(&name, &name, &name);
@@ -141,12 +144,14 @@
     assert!(text.len() + spare_bytes <= MAX_TICKET_TEXT_BYTES);
 }
 
+/// Guards against a ticket that is accepted outside the caller, service,
+/// regions and time that it is valid for.
 #[test]
 fn a_ticket_of_another_caller_service_region_or_time_is_refused() {
     let text = text();
     let expires_ms = Presenter::new()
         .verify(&text)
-        .expect("open")
+        .expect("authentic")
         .body()
         .expires_ms;
     let last_ms = expires_ms + STATE_RETENTION_MS;
@@ -159,18 +164,20 @@
     let caller = with(|presenter, _| presenter.caller = id("marcos"));
     let service = with(|presenter, _| presenter.service = id("other"));
     let region = with(|presenter, _| presenter.allowed = regions(&["zapad"]));
-    let just_kept = with(|presenter, last_ms| presenter.now_ms = last_ms - Millis(1));
+    let just_before = with(|presenter, last_ms| presenter.now_ms = last_ms - Millis(1));
     let expired = with(|presenter, last_ms| presenter.now_ms = last_ms);
 
     assert_eq!(caller, Err(TicketError::WrongCaller));
     assert_eq!(service, Err(TicketError::WrongService));
     assert_eq!(region, Err(TicketError::OutsideResidency));
-    assert_eq!(just_kept, Ok(()));
+    assert_eq!(just_before, Ok(()));
     assert_eq!(expired, Err(TicketError::Expired));
 }
 
+/// Guards against an unknown run state for a key that a caller's HTTP library
+/// generated, and against `not_run` for a damaged ticket.
 #[test]
-fn a_key_of_the_caller_is_no_ticket_and_nothing_ran_under_it() {
+fn a_generated_key_is_no_ticket_and_nothing_ran_under_it() {
     let uuid = "6f1c0b9e-4d1f-4e0a-9a55-0c1de1b2a3f4";
 
     let error = Presenter::new().verify(uuid).expect_err("no ticket");
@@ -182,20 +189,21 @@
     assert_eq!(damaged.run_state(Unsent::new()), RunState::Unknown);
 }
 
+/// Guards against tickets that were signed with another or a weak key.
 #[test]
 fn another_key_and_a_short_key_are_refused() {
     let other = TicketSigner::new(&[8; MIN_KEY_BYTES]).expect("key");
     let ticket = issue("drevoton", "orders", "host-1");
     let forged = other.encode(&ticket).expect("text");
 
-    let opened = Presenter::new().verify(&forged);
+    let verified = Presenter::new().verify(&forged);
     let short = TicketSigner::new(&KEY[1..]);
 
-    assert_eq!(opened, Err(TicketError::Forged));
+    assert_eq!(verified, Err(TicketError::Forged));
     assert_eq!(short.expect_err("short").bytes, MIN_KEY_BYTES - 1);
 }
 
-/// Guards against a tag that a host made for a message of another kind.
+/// Guards against a tag of another kind of message being accepted for a ticket.
 #[test]
 fn a_tag_over_the_same_bytes_without_the_domain_is_refused() {
     let ticket = issue("drevoton", "orders", "host-1");
@@ -205,13 +213,13 @@
     bytes.extend_from_slice(&mac.finalize().into_bytes()[..16]);
     let text = format!("{TEXT_PREFIX}{}", URL_SAFE_NO_PAD.encode(bytes));
 
-    let opened = Presenter::new().verify(&text);
+    let verified = Presenter::new().verify(&text);
 
-    assert_eq!(opened, Err(TicketError::Forged));
+    assert_eq!(verified, Err(TicketError::Forged));
 }
 
 proptest! {
-    /// Guards against a byte of the text that the tag does not cover.
+    /// Guards against a byte of the text that the tag does not authenticate.
     #[test]
     fn a_changed_text_is_never_accepted(position in any::<prop::sample::Index>(), byte: u8) {
         let text = text();
@@ -220,12 +228,12 @@
         prop_assume!(bytes[position] != byte);
         bytes[position] = byte;
 
-        let opened = Presenter::new().verify(&String::from_utf8_lossy(&bytes));
+        let verified = Presenter::new().verify(&String::from_utf8_lossy(&bytes));
 
-        prop_assert!(matches!(opened, Err(TicketError::Malformed | TicketError::Forged)));
+        prop_assert!(matches!(verified, Err(TicketError::Malformed | TicketError::Forged)));
     }
 
-    /// Guards against a panic on input from callers.
+    /// Guards against a panic on arbitrary input from callers.
     #[test]
     fn any_text_is_refused(text in ".{0,700}") {
         prop_assert!(Presenter::new().verify(&text).is_err());
