--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,7 +1,8 @@
-//! Promise `at_most_once`: a call that must not be repeated runs at most once.
+//! The guarantee `at_most_once`: a call that must not be repeated runs at most
+//! once.
 //!
-//! The services count the runs of each key. Every test holds that count against
-//! what the callers were told.
+//! The services count the runs of each key. Every test compares that count with
+//! the responses that the callers received.
 
 mod testenv;
 
@@ -43,23 +44,24 @@
     wait_for, //
 };
 
-/// Longest wait for something that the hosts do within seconds.
-const SOON: Duration = Duration::from_secs(10);
-/// Bound of a refusal that needs no answer of another process.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Timeout for conditions that the hosts reach within seconds.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Limit for a refusal that does not wait for another process.
+const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
 /// How long a call takes at the services while a fault is injected.
 const SLOW_CALL: Duration = Duration::from_millis(600);
-/// Deadline of the calls whose owner does not answer.
+/// Deadline of the calls whose owner does not respond.
 const SHORT_DEADLINE_MS: &str = "2000";
-/// How long after its deadline a forwarder may still wait for the owner.
+/// How long after the deadline of a call a forwarding host may still wait for
+/// the owner.
 const FORWARD_GRACE: Duration = Duration::from_secs(2);
 /// Regions of the testbed.
 const REGIONS: [&str; 3] = ["stred", "zapad", "sever"];
 /// How long the random test injects faults.
-const RANDOM_CHAOS_MS: u64 = 8_000;
-/// How long its clients go on after the last fault.
+const RANDOM_FAULTS_MS: u64 = 8_000;
+/// How long its clients continue after the last fault.
 const RANDOM_SETTLE: Duration = Duration::from_secs(6);
-/// Longest wait of its clients for a host that may be paused.
+/// Timeout of its clients for a host that may be paused.
 const RANDOM_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 const RANDOM_TICKETS: usize = 24;
 const RANDOM_CLIENTS_PER_TICKET: usize = 2;
@@ -84,9 +86,9 @@
 }
 
 fn ticket_of(caller: &Caller) -> String {
-    let answer = caller.get("/v1/entry?service=orders");
-    let answer = answer.expect("the host must answer").json();
-    answer["ticket"]
+    let response = caller.get("/v1/entry?service=orders");
+    let response = response.expect("the host must answer").json();
+    response["ticket"]
         .as_str()
         .expect("a ticket must be issued")
         .to_string()
@@ -94,8 +96,8 @@
 
 /// Confirms order `key` under `ticket`.
 fn confirm(caller: &Caller, ticket: &str, key: &str) -> CallerAnswer {
-    let answer = try_confirm(caller, ticket, key);
-    answer.expect("the host must answer")
+    let response = try_confirm(caller, ticket, key);
+    response.expect("the host must answer")
 }
 
 fn try_confirm(caller: &Caller, ticket: &str, key: &str) -> Option<CallerAnswer> {
@@ -108,14 +110,14 @@
         .ok()
 }
 
-/// Runs of one order over the services of all regions.
+/// Returns the runs of one order at the services of all regions.
 fn runs(env: &TestEnv, key: &str) -> u32 {
     let services = env.testbed.services.iter();
     services.map(|service| service.standin.runs(key)).sum()
 }
 
-/// Calls that reached any service.
-fn calls_seen(env: &TestEnv) -> usize {
+/// Returns the number of calls that reached any service.
+fn calls_received(env: &TestEnv) -> usize {
     let services = env.testbed.services.iter();
     services.map(|service| service.standin.seen().len()).sum()
 }
@@ -127,39 +129,45 @@
 }
 
 fn ticket_state(caller: &Caller, ticket: &str) -> CallerAnswer {
-    let answer = caller.get(&format!("/v1/tickets/{ticket}"));
-    answer.expect("the host must answer")
+    let response = caller.get(&format!("/v1/tickets/{ticket}"));
+    response.expect("the host must answer")
 }
 
-/// What a golden file shows of an answer.
-fn shown(step: &str, answer: &CallerAnswer) -> String {
-    let value = answer.json();
-    let pick = |value: &Value| value.as_str().unwrap_or("-").to_string();
+/// Returns a line of the recorded session for a response.
+fn session_line(step: &str, response: &CallerAnswer) -> String {
+    let value = response.json();
+    let text = |value: &Value| value.as_str().unwrap_or("-").to_string();
     format!(
         "{step}: {} code={} state={} run_state={} runs={} replayed={} retry_after={}\n",
-        answer.status,
-        pick(&value["error"]["code"]),
-        pick(&value["state"]),
-        pick(if value["error"].is_null() {
+        response.status,
+        text(&value["error"]["code"]),
+        text(&value["state"]),
+        text(if value["error"].is_null() {
             &value["run_state"]
         } else {
             &value["error"]["run_state"]
         }),
         value["runs"],
-        answer.headers.get("idempotent-replayed").unwrap_or("-"),
-        answer.headers.get("retry-after").unwrap_or("-"),
+        response.headers.get("idempotent-replayed").unwrap_or("-"),
+        response.headers.get("retry-after").unwrap_or("-"),
     )
 }
 
-fn has_retry_after(answer: &CallerAnswer) -> bool {
-    answer.headers.get("retry-after").is_some()
+fn has_retry_after(response: &CallerAnswer) -> bool {
+    response.headers.get("retry-after").is_some()
 }
 
-fn assert_unknown(answer: &CallerAnswer, env: &TestEnv) {
-    assert_eq!(answer.run_state(), "unknown", "{answer:?}\n{}", env.logs());
+fn assert_unknown(response: &CallerAnswer, env: &TestEnv) {
+    assert_eq!(
+        response.run_state(),
+        "unknown",
+        "{response:?}\n{}",
+        env.logs()
+    );
 }
 
-/// Guards against a change of what a caller sees during the life of a ticket.
+/// Guards against a change of the responses that a caller receives during the
+/// lifetime of a ticket.
 #[test]
 fn one_session_of_each_kind_of_ticket() {
     let env = env();
@@ -170,20 +178,20 @@
     let without = home
         .call("POST", "/v1/services/orders/confirm", b"{}".to_vec())
         .expect("the host must answer");
-    session += &shown("without a ticket", &without);
-    session += &shown("issued", &ticket_state(&other, &used));
-    session += &shown("first call", &confirm(&other, &used, "a"));
-    session += &shown("finished", &ticket_state(&home, &used));
-    session += &shown("same call at the owner", &confirm(&home, &used, "a"));
-    session += &shown("same call elsewhere", &confirm(&other, &used, "a"));
-    session += &shown("other body", &confirm(&other, &used, "b"));
+    session += &session_line("without a ticket", &without);
+    session += &session_line("issued", &ticket_state(&other, &used));
+    session += &session_line("first call", &confirm(&other, &used, "a"));
+    session += &session_line("finished", &ticket_state(&home, &used));
+    session += &session_line("same call at the owner", &confirm(&home, &used, "a"));
+    session += &session_line("same call elsewhere", &confirm(&other, &used, "a"));
+    session += &session_line("other body", &confirm(&other, &used, "b"));
     let path = format!("/v1/tickets/{used}");
     let late = other.call("DELETE", &path, Vec::new());
-    session += &shown("void after the call", &late.expect("the host must answer"));
+    session += &session_line("void after the call", &late.expect("the host must answer"));
     let path = format!("/v1/tickets/{voided}");
     let void = other.call("DELETE", &path, Vec::new());
-    session += &shown("void", &void.expect("the host must answer"));
-    session += &shown("call after void", &confirm(&other, &voided, "c"));
+    session += &session_line("void", &void.expect("the host must answer"));
+    session += &session_line("call after void", &confirm(&other, &voided, "c"));
 
     assert_eq!(
         (runs(&env, "a"), runs(&env, "b"), runs(&env, "c")),
@@ -217,22 +225,23 @@
         .map(|host| Caller::new(host.address).with_key(CALLER_KEY))
         .collect();
 
-    let answers: Vec<CallerAnswer> = thread::scope(|scope| {
+    let responses: Vec<CallerAnswer> = thread::scope(|scope| {
         let calls: Vec<_> = callers
             .iter()
             .map(|caller| scope.spawn(|| confirm(caller, &ticket, "once")))
             .collect();
-        let answers = calls.into_iter().map(|call| call.join());
-        answers
-            .map(|answer| answer.expect("a call must end"))
+        let responses = calls.into_iter().map(|call| call.join());
+        responses
+            .map(|response| response.expect("a call must end"))
             .collect()
     });
 
-    assert!(answers.iter().any(|answer| answer.status == 200));
-    for answer in &answers {
-        let is_in_progress =
-            answer.status == 409 && answer.run_state() == "unknown" && has_retry_after(answer);
-        assert!(answer.status == 200 || is_in_progress, "{answer:?}");
+    assert!(responses.iter().any(|response| response.status == 200));
+    for response in &responses {
+        let is_in_progress = response.status == 409
+            && response.run_state() == "unknown"
+            && has_retry_after(response);
+        assert!(response.status == 200 || is_in_progress, "{response:?}");
     }
     for caller in &callers {
         assert_eq!(confirm(caller, &ticket, "once").json()["runs"], 1);
@@ -240,9 +249,9 @@
     assert_eq!(runs(&env, "once"), 1);
 }
 
-/// Guards against a retry after an endpoint ran the call and did not answer.
+/// Guards against a retry after an endpoint ran the call and sent no response.
 #[test]
-fn a_lost_answer_of_the_service_stays_unknown() {
+fn a_lost_response_of_the_service_stays_unknown() {
     let env = env();
     let ticket = ticket(&env, "stred");
     for service in &env.testbed.services {
@@ -253,18 +262,18 @@
     let again = confirm(&env.caller("zapad"), &ticket, "lost");
     let at_owner = confirm(&env.caller("stred"), &ticket, "lost");
 
-    for answer in [first, again, at_owner] {
-        assert_unknown(&answer, &env);
+    for response in [first, again, at_owner] {
+        assert_unknown(&response, &env);
     }
     let state = ticket_state(&env.caller("sever"), &ticket).json();
     assert_eq!(state["run_state"], "unknown");
     assert_eq!(runs(&env, "lost"), 1);
 }
 
-/// Guards against a forwarder that runs the call itself, or calls it not run,
-/// after the answer of the owner was lost on the way.
+/// Guards against a forwarding host that runs the call itself, or reports it as
+/// not run, after the response of the owner was lost in transit.
 #[test]
-fn a_lost_answer_between_hosts_is_unknown_and_kept_at_the_owner() {
+fn a_lost_response_between_hosts_is_unknown_and_kept_at_the_owner() {
     let env = env();
     let ticket = ticket(&env, "stred");
     set_delay(&env, SLOW_CALL);
@@ -272,18 +281,20 @@
 
     let lost = thread::scope(|scope| {
         let call = scope.spawn(|| confirm(&caller, &ticket, "wire"));
-        wait_for(SOON, "the call reaches a service", || calls_seen(&env) == 1);
+        wait_for(TIMEOUT, "the call reaches a service", || {
+            calls_received(&env) == 1
+        });
         let owner = env.testbed.seats_in("stred").next();
         let wire = &owner.expect("the region must have a host").peer_wire;
         wire.set_flow(Direction::ToCaller, Flow::Hold);
-        wait_for(SOON, "the call runs", || runs(&env, "wire") == 1);
+        wait_for(TIMEOUT, "the call runs", || runs(&env, "wire") == 1);
         wire.set_cut(true);
         let lost = call.join().expect("the call must end");
         wire.set_cut(false);
         wire.set_flow(Direction::ToCaller, Flow::Pass);
         lost
     });
-    let kept = final_answer(&env, &caller, &ticket, "wire");
+    let kept = final_response(&env, &caller, &ticket, "wire");
 
     assert_unknown(&lost, &env);
     assert!(has_retry_after(&lost), "{lost:?}");
@@ -291,21 +302,21 @@
     assert_eq!(runs(&env, "wire"), 1);
 }
 
-/// Asks with the same ticket until the answer is final.
-fn final_answer(env: &TestEnv, caller: &Caller, ticket: &str, key: &str) -> CallerAnswer {
-    let deadline = Instant::now() + SOON;
+/// Repeats a call with the same ticket until the response is final.
+fn final_response(env: &TestEnv, caller: &Caller, ticket: &str, key: &str) -> CallerAnswer {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let answer = confirm(caller, ticket, key);
-        if !has_retry_after(&answer) {
-            return answer;
+        let response = confirm(caller, ticket, key);
+        if !has_retry_after(&response) {
+            return response;
         }
         let is_late = Instant::now() >= deadline;
-        assert!(!is_late, "no final answer: {answer:?}\n{}", env.logs());
+        assert!(!is_late, "no final response: {response:?}\n{}", env.logs());
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// Ends the owner without any warning and starts it again under its name.
+/// Kills the owner and starts it again under the same host id.
 fn restart_owner(env: &mut TestEnv) {
     let owner = env.host_mut("stred");
     owner.kill();
@@ -313,9 +324,9 @@
     owner.wait_ready();
 }
 
-/// Asserts that nobody says more than `unknown` about the ticket, whoever is
-/// asked, and that its call does not run.
-fn assert_unknown_for_good(env: &TestEnv, ticket: &str, key: &str) {
+/// Asserts that every host reports the ticket as `unknown` and that its call
+/// does not run.
+fn assert_unknown_at_all_hosts(env: &TestEnv, ticket: &str, key: &str) {
     let before = runs(env, key);
     for host in &env.hosts {
         let caller = Caller::new(host.address).with_key(CALLER_KEY);
@@ -333,8 +344,8 @@
     assert_eq!(runs(env, key), before);
 }
 
-/// Guards against a next run of the owner, or another host, that takes a ticket
-/// of the dead run for one that has not started.
+/// Guards against the next instance of the owner, or another host, that treats
+/// a ticket of the killed instance as not started.
 #[test]
 fn a_killed_owner_leaves_its_tickets_unknown() {
     let mut env = env();
@@ -345,33 +356,35 @@
 
     let broken = thread::scope(|scope| {
         let call = scope.spawn(|| confirm(&caller, &during, "during"));
-        wait_for(SOON, "the call reaches a service", || calls_seen(&env) == 2);
+        wait_for(TIMEOUT, "the call reaches a service", || {
+            calls_received(&env) == 2
+        });
         env.host_mut("stred").kill();
         call.join().expect("the call must end")
     });
     let unreachable = confirm(&caller, &before, "before");
     restart_owner(&mut env);
-    wait_for(SOON, "the call ends", || runs(&env, "during") == 1);
+    wait_for(TIMEOUT, "the call ends", || runs(&env, "during") == 1);
 
     assert_eq!(done.status, 200);
-    for answer in [broken, unreachable] {
-        assert_unknown(&answer, &env);
-        assert!(has_retry_after(&answer), "{answer:?}");
+    for response in [broken, unreachable] {
+        assert_unknown(&response, &env);
+        assert!(has_retry_after(&response), "{response:?}");
     }
     for (ticket, key, count) in [
         (&before, "before", 0),
         (&during, "during", 1),
         (&after, "after", 1),
     ] {
-        assert_unknown_for_good(&env, ticket, key);
+        assert_unknown_at_all_hosts(&env, ticket, key);
         assert_eq!(runs(&env, key), count, "{key}");
     }
 }
 
 /// Guards against a second run while the owner is paused, and against a void
-/// that a paused owner never heard of.
+/// that is confirmed although the paused owner has not received it.
 #[test]
-fn a_frozen_owner_still_decides_alone_after_it_wakes() {
+fn a_paused_owner_still_decides_alone_after_it_resumes() {
     let env = env();
     let (running, waiting) = (ticket(&env, "stred"), ticket(&env, "stred"));
     set_delay(&env, SLOW_CALL);
@@ -381,26 +394,28 @@
 
     let (frozen, void) = thread::scope(|scope| {
         let call = scope.spawn(|| confirm(&caller, &running, "frozen"));
-        wait_for(SOON, "the call reaches a service", || calls_seen(&env) == 1);
+        wait_for(TIMEOUT, "the call reaches a service", || {
+            calls_received(&env) == 1
+        });
         env.host("stred").signal(Signal::SIGSTOP);
         let path = format!("/v1/tickets/{waiting}");
         let void = caller.call("DELETE", &path, Vec::new());
         (call.join().expect("the call must end"), void)
     });
     let started = Instant::now();
-    let silent = confirm(&caller, &waiting, "waiting");
-    let silent_took = started.elapsed();
+    let while_paused = confirm(&caller, &waiting, "waiting");
+    let while_paused_took = started.elapsed();
     env.host("stred").signal(Signal::SIGCONT);
-    let woken = final_answer(&env, &caller, &running, "frozen");
-    let later = final_answer(&env, &caller, &waiting, "waiting");
+    let resumed = final_response(&env, &caller, &running, "frozen");
+    let later = final_response(&env, &caller, &waiting, "waiting");
 
     let void = void.expect("the host must answer");
-    for answer in [&frozen, &void, &silent] {
-        assert_unknown(answer, &env);
-        assert!(has_retry_after(answer), "{answer:?}");
+    for response in [&frozen, &void, &while_paused] {
+        assert_unknown(response, &env);
+        assert!(has_retry_after(response), "{response:?}");
     }
-    assert!(silent_took < Duration::from_secs(2) + FORWARD_GRACE);
-    assert!(woken.status == 200 || woken.run_state() == "unknown");
+    assert!(while_paused_took < Duration::from_secs(2) + FORWARD_GRACE);
+    assert!(resumed.status == 200 || resumed.run_state() == "unknown");
     assert_eq!(runs(&env, "frozen"), 1);
     // The void may have reached the owner; then the call never runs.
     match later.status {
@@ -409,7 +424,8 @@
     }
 }
 
-/// Guards against a run in the caller's own region during a partition.
+/// Guards against a run in the caller's own region while it is partitioned from
+/// the owner's.
 #[test]
 fn a_partition_from_the_owner_gives_unknown_and_no_run() {
     let mut env = env();
@@ -420,17 +436,17 @@
     let started = Instant::now();
     let cut_off = confirm(&caller, &ticket, "cut");
     let took = started.elapsed();
-    let seen = calls_seen(&env);
+    let seen = calls_received(&env);
     let through = confirm(&env.caller("sever"), &ticket, "cut");
     let still_cut = confirm(&caller, &ticket, "cut");
     env.testbed.set_cut_between("stred", "zapad", false);
-    let joined = final_answer(&env, &caller, &ticket, "cut");
+    let joined = final_response(&env, &caller, &ticket, "cut");
 
-    for answer in [&cut_off, &still_cut] {
-        assert_unknown(answer, &env);
-        assert!(has_retry_after(answer), "{answer:?}");
+    for response in [&cut_off, &still_cut] {
+        assert_unknown(response, &env);
+        assert!(has_retry_after(response), "{response:?}");
     }
-    assert!(took < AT_ONCE, "refused after {took:?}");
+    assert!(took < REFUSAL_LIMIT, "refused after {took:?}");
     assert_eq!(seen, 0);
     assert_eq!(through.status, 200, "{through:?}");
     assert_eq!(joined.status, 200, "{joined:?}");
@@ -438,7 +454,7 @@
 }
 
 /// Guards against a leaving host and its successor that both run a call, and
-/// against answers that are lost in the handover.
+/// against responses that are lost in the handover.
 #[test]
 fn a_leaving_owner_hands_its_tickets_to_one_successor() {
     let mut env = env_with_successors();
@@ -451,17 +467,19 @@
 
     let (while_leaving, drained) = thread::scope(|scope| {
         let call = scope.spawn(|| confirm(&neighbour, &in_progress, "in progress"));
-        wait_for(SOON, "the call reaches a service", || calls_seen(&env) == 2);
+        wait_for(TIMEOUT, "the call reaches a service", || {
+            calls_received(&env) == 2
+        });
         env.host("stred").signal(Signal::SIGTERM);
         let leaves = || !env.host("stred").is_ready();
-        wait_for(SOON, "the host leaves", leaves);
+        wait_for(TIMEOUT, "the host leaves", leaves);
         let while_leaving = confirm(&neighbour, &issued, "issued");
         (while_leaving, call.join().expect("the call must end"))
     });
-    let status = env.host_mut("stred").wait(SOON);
-    let at_successor = final_answer(&env, &neighbour, &issued, "issued");
+    let status = env.host_mut("stred").wait(TIMEOUT);
+    let at_successor = final_response(&env, &neighbour, &issued, "issued");
     let replays = [(&finished, "finished"), (&in_progress, "in progress")]
-        .map(|(ticket, key)| final_answer(&env, &neighbour, ticket, key));
+        .map(|(ticket, key)| final_response(&env, &neighbour, ticket, key));
 
     assert!(status.is_some_and(|status| status.success()));
     assert_eq!((done.status, drained.status), (200, 200));
@@ -480,34 +498,34 @@
     }
 }
 
-/// Guards against a call that runs under a ticket of somebody else, or under
+/// Guards against a call that runs under a ticket of another caller, or under
 /// one that no host issued.
 #[test]
-fn a_ticket_of_another_caller_or_of_nobody_runs_nothing() {
+fn a_ticket_of_another_caller_or_a_forged_one_runs_nothing() {
     let env = env();
     let ticket = ticket(&env, "stred");
     let stranger = Caller::new(env.host("stred").address).with_key(BOUND_CALLER_KEY);
     let middle = ticket.len() / 2;
     let forged = format!("{}{}", &ticket[middle..], &ticket[..middle]);
 
-    let answers = [
+    let responses = [
         confirm(&stranger, &ticket, "stranger"),
         confirm(&env.caller("stred"), &forged, "forged"),
         confirm(&env.caller("zapad"), &ticket[..middle], "cut"),
     ];
 
-    for answer in &answers {
-        assert!((400..500).contains(&answer.status), "{answer:?}");
+    for response in &responses {
+        assert!((400..500).contains(&response.status), "{response:?}");
     }
-    assert_eq!(calls_seen(&env), 0);
+    assert_eq!(calls_received(&env), 0);
     let own = confirm(&env.caller("zapad"), &ticket, "own");
     assert_eq!(own.status, 200, "{own:?}");
 }
 
-/// Guards against a host that is leaving or has no configuration and tells a
-/// caller `not_run` about a ticket whose call has run elsewhere.
+/// Guards against a host that is leaving or has no configuration and reports
+/// `not_run` for a ticket whose call has run at another host.
 #[test]
-fn only_the_owner_says_not_run_about_a_ticket() {
+fn only_the_owner_reports_not_run_for_a_ticket() {
     let mut env = env();
     let ticket = ticket(&env, "stred");
     assert_eq!(confirm(&env.caller("stred"), &ticket, "ran").status, 200);
@@ -515,13 +533,15 @@
     let second = ticket_of(&env.caller("zapad"));
     let caller = env.caller("zapad");
 
-    // A call in progress keeps the leaving host up.
+    // A call in progress delays the exit of the leaving host.
     let (call, state) = thread::scope(|scope| {
         scope.spawn(|| confirm(&caller, &second, "open"));
-        wait_for(SOON, "the call reaches a service", || calls_seen(&env) == 2);
+        wait_for(TIMEOUT, "the call reaches a service", || {
+            calls_received(&env) == 2
+        });
         env.host("zapad").signal(Signal::SIGTERM);
         let leaves = || !env.host("zapad").is_ready();
-        wait_for(SOON, "the host leaves", leaves);
+        wait_for(TIMEOUT, "the host leaves", leaves);
         (
             confirm(&caller, &ticket, "ran"),
             ticket_state(&caller, &ticket),
@@ -535,29 +555,29 @@
     }
     env.host_mut("sever").start();
     let starting = env.caller("sever");
-    let answers = || try_confirm(&starting, &ticket, "ran").is_some();
-    wait_for(SOON, "the host listens", answers);
+    let is_listening = || try_confirm(&starting, &ticket, "ran").is_some();
+    wait_for(TIMEOUT, "the host listens", is_listening);
     let not_ready = confirm(&starting, &ticket, "ran");
 
-    for answer in [&call, &not_ready] {
-        assert_eq!(answer.status, 503, "{answer:?}");
-        assert_unknown(answer, &env);
-        assert!(has_retry_after(answer), "{answer:?}");
+    for response in [&call, &not_ready] {
+        assert_eq!(response.status, 503, "{response:?}");
+        assert_unknown(response, &env);
+        assert!(has_retry_after(response), "{response:?}");
     }
     assert_ne!(state.json()["run_state"], "not_run");
     assert_eq!(runs(&env, "ran"), 1);
 }
 
-/// What the clients of the random test learned about the tickets.
+/// What one client of the random test observed.
 #[derive(Debug, Default)]
-struct Learned {
-    answered: usize,
+struct ClientObservations {
+    succeeded: usize,
     not_run: Vec<usize>,
-    wrong: Vec<String>,
+    wrong_responses: Vec<String>,
 }
 
-/// One client with a random choice of hosts; it retries with the same ticket
-/// until its answer is final or `until` is reached.
+/// A client that repeats a call with the same ticket at random hosts until the
+/// response is final or `until` is reached.
 struct RandomClient {
     hosts: Vec<SocketAddr>,
     number: usize,
@@ -567,51 +587,52 @@
 }
 
 impl RandomClient {
-    fn run(mut self) -> Learned {
-        let mut learned = Learned::default();
-        let starts_after_ms = self.rng.random_range(0..RANDOM_CHAOS_MS);
+    fn run(mut self) -> ClientObservations {
+        let mut observed = ClientObservations::default();
+        let starts_after_ms = self.rng.random_range(0..RANDOM_FAULTS_MS);
         thread::sleep(Duration::from_millis(starts_after_ms));
         while Instant::now() < self.until {
             let host = self.hosts[self.rng.random_range(0..self.hosts.len())];
-            let is_final = self.ask(host, &mut learned);
+            let is_final = self.send_request(host, &mut observed);
             if is_final {
                 break;
             }
             thread::sleep(Duration::from_millis(self.rng.random_range(20..200)));
         }
-        learned
+        observed
     }
 
-    /// Asks one host in a random way; returns whether its answer is final.
-    fn ask(&mut self, host: SocketAddr, learned: &mut Learned) -> bool {
+    /// Sends one random request to a host; returns whether the response is
+    /// final.
+    fn send_request(&mut self, host: SocketAddr, observed: &mut ClientObservations) -> bool {
         let caller = Caller::new(host)
             .with_key(CALLER_KEY)
             .with_header("x-deadline-ms", "1000")
             .with_timeout(RANDOM_CALL_TIMEOUT);
         let path = format!("/v1/tickets/{}", self.ticket);
-        let way = self.rng.random_range(0..20);
-        let answer = match way {
+        let kind = self.rng.random_range(0..20);
+        let response = match kind {
             0 => caller.call("DELETE", &path, Vec::new()).ok(),
             1 => caller.get(&path).ok(),
             _ => try_confirm(&caller, &self.ticket, &random_key(self.number)),
         };
-        let Some(answer) = answer else {
+        let Some(response) = response else {
             return false;
         };
-        let value = answer.json();
-        if answer.run_state() == "not_run" || value["run_state"] == "not_run" {
-            learned.not_run.push(self.number);
+        let value = response.json();
+        if response.run_state() == "not_run" || value["run_state"] == "not_run" {
+            observed.not_run.push(self.number);
         }
-        if way < 2 {
+        if kind < 2 {
             return false;
         }
-        if answer.status == 200 {
-            learned.answered += 1;
+        if response.status == 200 {
+            observed.succeeded += 1;
             if value["runs"] != 1 || value["key"] != random_key(self.number).as_str() {
-                learned.wrong.push(format!("{answer:?}"));
+                observed.wrong_responses.push(format!("{response:?}"));
             }
         }
-        !has_retry_after(&answer)
+        !has_retry_after(&response)
     }
 }
 
@@ -644,7 +665,7 @@
         }
     }
 
-    /// The host whose process it changes, if any.
+    /// Returns the host whose process it affects, if any.
     fn process(self) -> Option<usize> {
         match self {
             Self::Kill(host) | Self::Freeze(host) => Some(host),
@@ -685,7 +706,7 @@
     }
 }
 
-/// Injects pairs of faults that overlap, until `until`.
+/// Injects pairs of overlapping faults until `until`.
 fn inject_pairs(env: &mut TestEnv, rng: &mut Pcg64Mcg, until: Instant) {
     while Instant::now() < until {
         let first = Fault::draw(rng, env);
@@ -706,7 +727,7 @@
     }
 }
 
-/// The seed of a random test; `CARDAMOMBRIDGE_SEED` repeats a run.
+/// Returns the seed of a random test; `CARDAMOMBRIDGE_SEED` reproduces a run.
 fn seed() -> u64 {
     let given = std::env::var("CARDAMOMBRIDGE_SEED").ok();
     given.map_or_else(rand::random, |text| {
@@ -725,8 +746,8 @@
     let mut env = env_with_successors();
     set_delay(&env, Duration::from_millis(50));
     let hosts: Vec<SocketAddr> = env.hosts.iter().map(|host| host.address).collect();
-    let chaos_until = Instant::now() + Duration::from_millis(RANDOM_CHAOS_MS);
-    let until = chaos_until + RANDOM_SETTLE;
+    let faults_until = Instant::now() + Duration::from_millis(RANDOM_FAULTS_MS);
+    let until = faults_until + RANDOM_SETTLE;
     let mut clients = Vec::new();
     for number in 0..RANDOM_TICKETS {
         let owner = hosts[rng.random_range(0..hosts.len())];
@@ -743,27 +764,31 @@
         }
     }
 
-    inject_pairs(&mut env, &mut rng, chaos_until);
-    let learned: Vec<Learned> = clients
+    inject_pairs(&mut env, &mut rng, faults_until);
+    let observed: Vec<ClientObservations> = clients
         .into_iter()
         .map(|client| client.join().expect("a client must end"))
         .collect();
-    // A host that was paused may still hold a call.
-    thread::sleep(AT_ONCE);
+    // A host that was paused may still have a call in progress.
+    thread::sleep(REFUSAL_LIMIT);
 
     for number in 0..RANDOM_TICKETS {
         let count = runs(&env, &random_key(number));
-        let is_told_not_run = learned.iter().any(|one| one.not_run.contains(&number));
+        let is_reported_not_run = observed.iter().any(|one| one.not_run.contains(&number));
         assert!(count <= 1, "ticket {number} ran {count} times, seed {seed}");
         assert!(
-            count == 0 || !is_told_not_run,
-            "ticket {number} ran and was called not run, seed {seed}\n{}",
+            count == 0 || !is_reported_not_run,
+            "ticket {number} ran and was reported as not run, seed {seed}\n{}",
             env.logs()
         );
     }
-    for one in &learned {
-        assert!(one.wrong.is_empty(), "seed {seed}: {:?}", one.wrong);
+    for one in &observed {
+        assert!(
+            one.wrong_responses.is_empty(),
+            "seed {seed}: {:?}",
+            one.wrong_responses
+        );
     }
-    let answered: usize = learned.iter().map(|one| one.answered).sum();
-    assert!(answered > 0, "no call was answered, seed {seed}");
+    let succeeded: usize = observed.iter().map(|one| one.succeeded).sum();
+    assert!(succeeded > 0, "no call succeeded, seed {seed}");
 }
