--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -1,8 +1,9 @@
-//! Promise `not_run`: a caller is told `not_run` only if its request did not run.
+//! The guarantee `not_run`: this run state is reported to a caller only if its
+//! request did not run.
 //!
-//! Endpoints and wires break at every point of an exchange. Each check holds
-//! what the caller was told against what the endpoints saw under the same
-//! request id.
+//! Endpoints and connections fail at every point of an exchange. Each check
+//! compares the response that the caller received with what the endpoints
+//! recorded under the same request id.
 
 mod testenv;
 
@@ -78,16 +79,16 @@
     wait_for, //
 };
 
-/// Longest wait for something that the hosts do within seconds.
-const SOON: Duration = Duration::from_secs(10);
-/// Bound of a refusal; the design gives the final answer at once.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Timeout for conditions that the hosts reach within seconds.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Limit for a refusal, which does not wait for the deadline.
+const REFUSAL_LIMIT: Duration = Duration::from_secs(1);
 /// Deadline of the calls to an endpoint that stalls.
 const DEADLINE_MS: &str = "1500";
 const DEADLINE: Duration = Duration::from_millis(1_500);
 /// `Retry-After` of an engine stand-in.
 const ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time past its deadline for an answer to arrive.
+/// Maximum time after its deadline in which a response must arrive.
 const DEADLINE_SLACK: Duration = Duration::from_secs(1);
 /// `Retry-After` of a scripted refusal, above every deadline used here.
 const REFUSAL_RETRY_AFTER_S: u32 = 5;
@@ -95,19 +96,20 @@
 /// What a scripted endpoint does with a request that it has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Script {
-    /// Refuses before it runs anything.
+    /// Refuses the request without running it.
     Refuse,
-    /// Runs it and closes without an answer.
+    /// Runs it and closes the connection without a response.
     CutAfterRequest,
-    /// Runs it and closes within the head of the answer.
+    /// Runs it and closes within the head of the response.
     TruncatedHead,
     /// Runs it and closes within the head of what may be a refusal.
     TruncatedRefusal,
-    /// Runs it and closes within the body.
+    /// Runs it and closes within the body of the response.
     TruncatedBody,
-    /// Runs it and gives no length, so that a cut looks like the end.
+    /// Runs it and sends no length, so that a closed connection looks like the
+    /// end.
     NoLength,
-    /// Runs it and never answers.
+    /// Runs it and never responds.
     Stall,
     /// Runs it and reports a failure.
     Failure,
@@ -116,11 +118,11 @@
 #[derive(Debug)]
 struct ScriptState {
     next: VecDeque<Script>,
-    usual: Script,
+    default: Script,
     ran: Vec<String>,
 }
 
-/// Endpoints that follow one script and share their count of runs.
+/// Endpoints that follow one script and share their record of runs.
 struct ScriptedEndpoints {
     state: Arc<Mutex<ScriptState>>,
     wires: Vec<Wire>,
@@ -128,11 +130,11 @@
 }
 
 impl ScriptedEndpoints {
-    /// Adds `count` endpoints of each target to the list of one region.
+    /// Registers `count` endpoints of each target in one region.
     fn register(env: &TestEnv, region: &str, count: usize) -> Self {
         let state = Arc::new(Mutex::new(ScriptState {
             next: VecDeque::new(),
-            usual: Script::Refuse,
+            default: Script::Refuse,
             ran: Vec::new(),
         }));
         let mut endpoints = Self {
@@ -182,7 +184,7 @@
     }
 
     fn set(&self, script: Script) {
-        lock(&self.state).usual = script;
+        lock(&self.state).default = script;
     }
 
     fn set_next(&self, scripts: &[Script]) {
@@ -215,7 +217,7 @@
     }
     let script = {
         let mut state = lock(state);
-        let script = state.next.pop_front().unwrap_or(state.usual);
+        let script = state.next.pop_front().unwrap_or(state.default);
         if script != Script::Refuse {
             let id = request.head.headers.get("x-request-id");
             state.ran.push(id.unwrap_or_default().to_string());
@@ -243,70 +245,70 @@
     cut(connection)
 }
 
-/// What a caller is told, and how long that took.
-struct Told {
-    answer: CallerAnswer,
-    took: Duration,
+/// A response to a caller, and how long it elapsed.
+struct TimedResponse {
+    response: CallerAnswer,
+    elapsed: Duration,
 }
 
-impl Told {
+impl TimedResponse {
     fn id(&self) -> String {
-        let id = self.answer.headers.get("x-request-id");
+        let id = self.response.headers.get("x-request-id");
         id.unwrap_or_default().to_string()
     }
 
     fn is_not_run(&self) -> bool {
-        self.answer.run_state() == "not_run"
+        self.response.run_state() == "not_run"
     }
 
     fn has_retry_after(&self) -> bool {
-        self.answer.headers.get("retry-after").is_some()
+        self.response.headers.get("retry-after").is_some()
     }
 
-    /// One line of a golden file.
-    fn shown(&self, step: &str, has_run: bool) -> String {
-        let value = self.answer.json();
-        let word = |value: &serde_json::Value| value.as_str().unwrap_or("-").to_string();
+    /// Returns a line of the recorded session.
+    fn session_line(&self, step: &str, has_run: bool) -> String {
+        let value = self.response.json();
+        let text = |value: &serde_json::Value| value.as_str().unwrap_or("-").to_string();
         format!(
             "{step}: {} code={} run_state={} has_run={has_run}\n",
-            self.answer.status,
-            word(&value["error"]["code"]),
-            word(&value["error"]["run_state"]),
+            self.response.status,
+            text(&value["error"]["code"]),
+            text(&value["error"]["run_state"]),
         )
     }
 }
 
-fn tell<F>(call: F) -> Told
+fn timed<F>(call: F) -> TimedResponse
 where
     F: FnOnce() -> Result<CallerAnswer, MessageError>,
 {
     let started = Instant::now();
-    let answer = call().expect("the host must answer");
-    Told {
-        answer,
-        took: started.elapsed(),
+    let response = call().expect("the host must answer");
+    TimedResponse {
+        response,
+        elapsed: started.elapsed(),
     }
 }
 
-fn chat(caller: &Caller, prompt: &str) -> Told {
-    tell(|| caller.chat(prompt, 16))
+fn chat(caller: &Caller, prompt: &str) -> TimedResponse {
+    timed(|| caller.chat(prompt, 16))
 }
 
-/// Confirms an order under a fresh ticket of the caller's own host.
-fn confirm(caller: &Caller, key: &str) -> Told {
+/// Confirms an order with a new ticket from the host that the caller uses.
+fn confirm(caller: &Caller, key: &str) -> TimedResponse {
     let entry = caller.get("/v1/entry?service=orders");
     let entry = entry.expect("the host must answer").json();
     let ticket = entry["ticket"].as_str().expect("a ticket must be issued");
     let caller = caller.clone().with_header("idempotency-key", ticket);
     let body = json!({"key": key}).to_string().into_bytes();
-    tell(|| caller.call("POST", "/v1/services/orders/confirm", body))
+    timed(|| caller.call("POST", "/v1/services/orders/confirm", body))
 }
 
-fn in_time(caller: Caller) -> Caller {
+fn with_deadline(caller: Caller) -> Caller {
     caller.with_header("x-deadline-ms", DEADLINE_MS)
 }
 
-/// Whether any engine or service accepted the request.
+/// Returns whether any engine or service ran the request.
 fn has_run(env: &TestEnv, id: &str) -> bool {
     let in_engines = env.testbed.engines.iter().any(|engine| {
         let seen = engine.standin.seen();
@@ -319,17 +321,27 @@
     in_engines || in_services
 }
 
-/// Asserts a refusal of a request that did not run.
-fn assert_refused(env: &TestEnv, told: &Told, status: u16) {
+/// Asserts that the request was refused and did not run.
+fn assert_refused(env: &TestEnv, reply: &TimedResponse, status: u16) {
     let logs = || env.logs();
-    assert_eq!(told.answer.status, status, "{:?}\n{}", told.answer, logs());
-    assert!(told.is_not_run(), "{:?}", told.answer);
-    assert!(told.has_retry_after(), "{:?}", told.answer);
-    assert!(told.took < AT_ONCE, "refused after {:?}", told.took);
-    assert!(!has_run(env, &told.id()));
+    assert_eq!(
+        reply.response.status,
+        status,
+        "{:?}\n{}",
+        reply.response,
+        logs()
+    );
+    assert!(reply.is_not_run(), "{:?}", reply.response);
+    assert!(reply.has_retry_after(), "{:?}", reply.response);
+    assert!(
+        reply.elapsed < REFUSAL_LIMIT,
+        "refused after {:?}",
+        reply.elapsed
+    );
+    assert!(!has_run(env, &reply.id()));
 }
 
-/// An environment without engines and services of its own.
+/// Starts an environment without engines and services.
 fn bare_env() -> TestEnv {
     let options = TestbedOptions {
         services_per_region: 0,
@@ -340,20 +352,20 @@
     env
 }
 
-/// The same with scripted endpoints in the region sever, which the other
-/// regions know of.
+/// Starts the same with scripted endpoints in the region sever, to which the
+/// other regions forward.
 fn scripted_env() -> (TestEnv, ScriptedEndpoints) {
     let env = bare_env();
     let endpoints = ScriptedEndpoints::register(&env, "sever", 2);
     env.wait_live(4);
-    // A failure that an endpoint reports does not make hosts avoid it.
+    // Hosts don't avoid an endpoint because of a failure that it reports.
     endpoints.set(Script::Failure);
     for region in ["stred", "zapad"] {
         let is_forwarded = || {
-            let told = chat(&env.caller(region), "probe");
-            endpoints.has_run(&told.id())
+            let reply = chat(&env.caller(region), "probe");
+            endpoints.has_run(&reply.id())
         };
-        wait_for(SOON, "requests reach sever", is_forwarded);
+        wait_for(TIMEOUT, "requests reach sever", is_forwarded);
     }
     lock(&endpoints.state).ran.clear();
     (env, endpoints)
@@ -365,11 +377,12 @@
     env
 }
 
-/// Guards against `not_run` after any break between a host and an endpoint.
+/// Guards against `not_run` for a request that ran before its exchange with an
+/// endpoint failed, at any point of the exchange.
 #[test]
-fn a_break_at_an_endpoint_is_told_as_it_was() {
+fn a_failure_at_an_endpoint_is_reported_with_the_true_run_state() {
     let (env, mut endpoints) = scripted_env();
-    let caller = in_time(env.caller("sever"));
+    let caller = with_deadline(env.caller("sever"));
     let scripts = [
         Script::Refuse,
         Script::CutAfterRequest,
@@ -386,43 +399,51 @@
         endpoints.set(script);
         let bound = match script {
             Script::Stall => DEADLINE + DEADLINE_SLACK,
-            _ => AT_ONCE,
+            _ => REFUSAL_LIMIT,
         };
-        for (kind, told) in [
+        for (kind, reply) in [
             ("chat", chat(&caller, &format!("{script:?}"))),
             ("confirm", confirm(&caller, &format!("{script:?}"))),
         ] {
-            let has_run = endpoints.has_run(&told.id());
+            let has_run = endpoints.has_run(&reply.id());
             if script == Script::Stall {
                 // The host or its decider may be the first to see the deadline.
-                assert!(matches!(told.answer.status, 502 | 504));
-                assert_eq!(told.answer.run_state(), "unknown");
+                assert!(matches!(reply.response.status, 502 | 504));
+                assert_eq!(reply.response.run_state(), "unknown");
             } else {
-                session += &told.shown(&format!("{kind} {script:?}"), has_run);
+                session += &reply.session_line(&format!("{kind} {script:?}"), has_run);
             }
             assert_eq!(has_run, script != Script::Refuse);
-            assert!(!(has_run && told.is_not_run()), "{script:?} {kind}");
-            assert!(told.took < bound, "{script:?} {kind}: {:?}", told.took);
+            assert!(!(has_run && reply.is_not_run()), "{script:?} {kind}");
+            assert!(
+                reply.elapsed < bound,
+                "{script:?} {kind}: {:?}",
+                reply.elapsed
+            );
         }
     }
     for wire in &endpoints.wires {
         wire.set_cut(true);
     }
     endpoints.set(Script::Failure);
-    let told = chat(&caller, "cut before the request");
-    let is_run = endpoints.has_run(&told.id());
-    session += &told.shown("chat cut before the request", is_run);
-    assert!(!is_run && told.took < AT_ONCE, "{:?}", told.took);
+    let reply = chat(&caller, "cut before the request");
+    let is_run = endpoints.has_run(&reply.id());
+    session += &reply.session_line("chat cut before the request", is_run);
+    assert!(
+        !is_run && reply.elapsed < REFUSAL_LIMIT,
+        "{:?}",
+        reply.elapsed
+    );
     for wire in &mut endpoints.wires {
         wire.stop();
     }
-    for (kind, told) in [
+    for (kind, reply) in [
         ("chat", chat(&caller, "connect refused")),
         ("confirm", confirm(&caller, "connect refused")),
     ] {
-        session += &told.shown(&format!("{kind} connect refused"), false);
-        assert!(told.is_not_run() && told.has_retry_after());
-        assert!(told.took < AT_ONCE, "{kind}: {:?}", told.took);
+        session += &reply.session_line(&format!("{kind} connect refused"), false);
+        assert!(reply.is_not_run() && reply.has_retry_after());
+        assert!(reply.elapsed < REFUSAL_LIMIT, "{kind}: {:?}", reply.elapsed);
     }
 
     expect![[r#"
@@ -447,12 +468,12 @@
     .assert_eq(&session);
 }
 
-/// Guards against `not_run` from the host that accepted a request when the host
-/// that runs it meets the break.
+/// Guards against `not_run` from the host that accepted a request when the
+/// exchange with an endpoint fails at the host that it was forwarded to.
 #[test]
-fn a_break_at_an_endpoint_of_another_region_is_told_as_it_was() {
+fn a_failure_at_an_endpoint_of_another_region_is_reported_with_the_true_run_state() {
     let (env, endpoints) = scripted_env();
-    let caller = in_time(env.caller("zapad"));
+    let caller = with_deadline(env.caller("zapad"));
     let mut forwarded = 0;
     let mut has_refused = false;
 
@@ -464,20 +485,24 @@
         Script::Stall,
     ] {
         endpoints.set(script);
-        for told in [
+        for reply in [
             chat(&caller, &format!("{script:?}")),
             confirm(&caller, &format!("{script:?}")),
         ] {
-            let has_run = endpoints.has_run(&told.id());
-            assert!(!(has_run && told.is_not_run()), "{script:?}");
-            assert!(told.took < DEADLINE + DEADLINE_SLACK, "{:?}", told.took);
-            has_refused |= told.is_not_run();
+            let has_run = endpoints.has_run(&reply.id());
+            assert!(!(has_run && reply.is_not_run()), "{script:?}");
+            assert!(
+                reply.elapsed < DEADLINE + DEADLINE_SLACK,
+                "{:?}",
+                reply.elapsed
+            );
+            has_refused |= reply.is_not_run();
             forwarded += usize::from(has_run);
         }
     }
 
     assert!(forwarded > 0, "no request was forwarded\n{}", env.logs());
-    assert!(has_refused, "no refusal was told\n{}", env.logs());
+    assert!(has_refused, "no refusal was reported\n{}", env.logs());
 }
 
 /// Guards against a later refusal that hides that an earlier attempt ran.
@@ -488,27 +513,28 @@
         endpoints.set_next(&[Script::CutAfterRequest]);
         endpoints.set(Script::Refuse);
 
-        let told = chat(&in_time(env.caller(region)), "ran, then refused");
+        let reply = chat(&with_deadline(env.caller(region)), "ran, then refused");
 
-        assert!(endpoints.has_run(&told.id()), "{region}");
-        assert_eq!(told.answer.run_state(), "unknown", "{region}");
-        assert!(told.has_retry_after(), "{:?}", told.answer);
+        assert!(endpoints.has_run(&reply.id()), "{region}");
+        assert_eq!(reply.response.run_state(), "unknown", "{region}");
+        assert!(reply.has_retry_after(), "{:?}", reply.response);
     }
 }
 
-/// Guards against `not_run` when the way between two hosts breaks.
+/// Guards against `not_run` for a request that ran before the connection
+/// between two hosts failed.
 #[test]
-fn a_break_between_hosts_is_told_as_it_was() {
+fn a_failure_between_hosts_is_reported_with_the_true_run_state() {
     let (env, endpoints) = scripted_env();
     endpoints.set(Script::Stall);
-    let caller = in_time(env.caller("zapad"));
-    let seat = env.testbed.seats_in("sever").next();
-    let wire = &seat.expect("the region must have a host").peer_wire;
+    let caller = with_deadline(env.caller("zapad"));
+    let host_seat = env.testbed.seats_in("sever").next();
+    let wire = &host_seat.expect("the region must have a host").peer_wire;
     let is_running = || !lock(&endpoints.state).ran.is_empty();
 
     let cut_while_running = thread::scope(|scope| {
         let call = scope.spawn(|| chat(&caller, "cut while it runs"));
-        wait_for(SOON, "the request runs", is_running);
+        wait_for(TIMEOUT, "the request runs", is_running);
         wire.set_cut(true);
         call.join().expect("the call must end")
     });
@@ -516,51 +542,56 @@
     let cut_confirm = confirm(&caller, "cut before");
     wire.set_cut(false);
     wire.set_flow(Direction::ToCaller, Flow::Hold);
-    let held = chat(&caller, "held");
+    let stalled = chat(&caller, "held");
     wire.set_flow(Direction::ToCaller, Flow::Pass);
     env.host("sever").signal(Signal::SIGSTOP);
     let frozen = chat(&caller, "frozen");
     env.host("sever").signal(Signal::SIGCONT);
-    thread::sleep(AT_ONCE);
+    thread::sleep(REFUSAL_LIMIT);
 
-    assert_eq!(cut_while_running.answer.run_state(), "unknown");
-    for told in [
+    assert_eq!(cut_while_running.response.run_state(), "unknown");
+    for reply in [
         &cut_while_running,
         &cut_before,
         &cut_confirm,
-        &held,
+        &stalled,
         &frozen,
     ] {
-        assert_ne!(told.answer.status, 200);
-        let has_run = endpoints.has_run(&told.id());
-        assert!(!(has_run && told.is_not_run()), "{:?}", told.answer);
-        assert!(told.took < DEADLINE + DEADLINE_SLACK, "{:?}", told.took);
+        assert_ne!(reply.response.status, 200);
+        let has_run = endpoints.has_run(&reply.id());
+        assert!(!(has_run && reply.is_not_run()), "{:?}", reply.response);
+        assert!(
+            reply.elapsed < DEADLINE + DEADLINE_SLACK,
+            "{:?}",
+            reply.elapsed
+        );
     }
-    for told in [&cut_before, &cut_confirm] {
-        assert!(told.is_not_run(), "{:?}", told.answer);
-        assert!(told.has_retry_after(), "{:?}", told.answer);
-        assert!(told.took < AT_ONCE, "{:?}", told.took);
+    for reply in [&cut_before, &cut_confirm] {
+        assert!(reply.is_not_run(), "{:?}", reply.response);
+        assert!(reply.has_retry_after(), "{:?}", reply.response);
+        assert!(reply.elapsed < REFUSAL_LIMIT, "{:?}", reply.elapsed);
     }
 }
 
-/// Guards against a request that is held, or called run, without an endpoint.
+/// Guards against a request that waits, or is reported as run, although there
+/// is no endpoint.
 #[test]
 fn without_an_endpoint_a_request_is_refused_at_once() {
     let env = bare_env();
 
-    let told = [
+    let replies = [
         chat(&env.caller("stred"), "nobody"),
         confirm(&env.caller("stred"), "nobody"),
     ];
 
-    for told in &told {
-        assert_refused(&env, told, 503);
+    for reply in &replies {
+        assert_refused(&env, reply, 503);
     }
 }
 
-/// Guards against a leaving endpoint whose refusal is taken for a run.
+/// Guards against a refusal of a leaving endpoint that is reported as a run.
 #[test]
-fn a_refusal_of_all_engines_is_told_as_not_run() {
+fn a_refusal_of_all_engines_is_reported_as_not_run() {
     let env = env();
     for engine in &env.testbed.engines {
         engine.standin.set_leaving(true);
@@ -568,24 +599,24 @@
 
     let caller = env.caller("stred");
 
-    let in_a_hurry = chat(&caller.clone().with_header("x-deadline-ms", "900"), "soon");
-    let patient = chat(&caller, "later");
+    let short_deadline = chat(&caller.clone().with_header("x-deadline-ms", "900"), "soon");
+    let long_deadline = chat(&caller, "later");
 
-    for (told, bound) in [
-        (in_a_hurry, AT_ONCE),
+    for (reply, bound) in [
+        (short_deadline, REFUSAL_LIMIT),
         // A deadline of 10 s leaves time for one more attempt when the engines
         // ask for it.
-        (patient, ENGINE_RETRY_AFTER + AT_ONCE),
+        (long_deadline, ENGINE_RETRY_AFTER + REFUSAL_LIMIT),
     ] {
-        assert!(!has_run(&env, &told.id()));
-        assert!(told.is_not_run(), "{:?}\n{}", told.answer, env.logs());
-        assert!(told.has_retry_after(), "{:?}", told.answer);
-        assert!(told.took < bound, "refused after {:?}", told.took);
+        assert!(!has_run(&env, &reply.id()));
+        assert!(reply.is_not_run(), "{:?}\n{}", reply.response, env.logs());
+        assert!(reply.has_retry_after(), "{:?}", reply.response);
+        assert!(reply.elapsed < bound, "refused after {:?}", reply.elapsed);
     }
 }
 
-/// Guards against refused requests that run, and against refusals that come
-/// near the deadline, when there is more work than the engines can do in time.
+/// Guards against refused requests that run, and against refusals that are sent
+/// only near the deadline, when the engines are overloaded.
 #[test]
 fn overload_is_refused_at_once_and_not_run() {
     let speed = ModelOptions {
@@ -601,32 +632,39 @@
     env.wait_settled();
     let caller = env.caller("stred").with_header("x-deadline-ms", "3000");
 
-    let told: Vec<Told> = thread::scope(|scope| {
+    let replies: Vec<TimedResponse> = thread::scope(|scope| {
         let calls: Vec<_> = (0..32)
             .map(|number| {
                 let caller = &caller;
-                scope.spawn(move || tell(|| caller.chat(&format!("load {number}"), 60)))
+                scope.spawn(move || timed(|| caller.chat(&format!("load {number}"), 60)))
             })
             .collect();
-        let told = calls.into_iter().map(|call| call.join());
-        told.map(|told| told.expect("a call must end")).collect()
+        let replies = calls.into_iter().map(|call| call.join());
+        replies
+            .map(|reply| reply.expect("a call must end"))
+            .collect()
     });
 
     let mut refused = 0;
-    for one in &told {
+    for one in &replies {
         let has_run = has_run(&env, &one.id());
-        assert!(!(has_run && one.is_not_run()), "{:?}", one.answer);
+        assert!(!(has_run && one.is_not_run()), "{:?}", one.response);
         if one.is_not_run() {
             refused += 1;
-            assert!(one.took < AT_ONCE, "refused after {:?}", one.took);
-            assert!(one.has_retry_after(), "{:?}", one.answer);
+            assert!(
+                one.elapsed < REFUSAL_LIMIT,
+                "refused after {:?}",
+                one.elapsed
+            );
+            assert!(one.has_retry_after(), "{:?}", one.response);
         }
     }
     assert!(refused > 0, "nothing was refused");
-    assert!(told.iter().any(|one| one.answer.status == 200));
+    assert!(replies.iter().any(|one| one.response.status == 200));
 }
 
-/// Guards against work beyond the budget that runs all the same.
+/// Guards against a request that runs although the budget of its caller is used
+/// up.
 #[test]
 fn over_budget_is_refused_at_once_and_not_run() {
     let options = TestbedOptions::new();
@@ -645,34 +683,36 @@
     env.wait_settled();
 
     let caller = env.caller("stred");
-    let mut calls = (0..40).map(|number| tell(|| caller.chat(&format!("dear {number}"), 200)));
-    let told = calls.find(|told| told.answer.status != 200);
-    let told = told.expect("the budget must be used up");
+    let mut calls = (0..40).map(|number| timed(|| caller.chat(&format!("dear {number}"), 200)));
+    let reply = calls.find(|reply| reply.response.status != 200);
+    let reply = reply.expect("the budget must be used up");
 
-    assert_refused(&env, &told, 429);
+    assert_refused(&env, &reply, 429);
 }
 
-/// Guards against a host without a configuration that takes work.
+/// Guards against a host without a configuration that accepts requests.
 #[test]
 fn a_host_that_is_not_ready_refuses_at_once() {
     let mut env = TestEnv::prepare(&TestbedOptions::new());
     env.host_mut("stred").start();
     let caller = env.caller("stred");
-    wait_for(SOON, "the host listens", || caller.get("/healthz").is_ok());
+    wait_for(TIMEOUT, "the host listens", || {
+        caller.get("/healthz").is_ok()
+    });
 
-    let told = chat(&caller, "too early");
+    let reply = chat(&caller, "too early");
 
-    assert_refused(&env, &told, 503);
+    assert_refused(&env, &reply, 503);
     assert!(!env.host("stred").is_ready());
 }
 
-/// Guards against a leaving host that takes new work.
+/// Guards against a leaving host that accepts new requests.
 #[test]
 fn a_leaving_host_refuses_at_once() {
     let env = env();
     let caller = env.caller("stred");
 
-    let (open, told) = thread::scope(|scope| {
+    let (open, reply) = thread::scope(|scope| {
         let open = scope.spawn(|| caller.chat("kept open", 300));
         let is_running = || {
             let engines = env.testbed.engines.iter();
@@ -681,19 +721,19 @@
                 .sum::<u32>()
                 > 0
         };
-        wait_for(SOON, "the request runs", is_running);
+        wait_for(TIMEOUT, "the request runs", is_running);
         env.host("stred").signal(Signal::SIGTERM);
-        wait_for(SOON, "the host leaves", || !env.host("stred").is_ready());
-        let told = chat(&caller, "too late");
-        (open.join().expect("the call must end"), told)
+        wait_for(TIMEOUT, "the host leaves", || !env.host("stred").is_ready());
+        let reply = chat(&caller, "too late");
+        (open.join().expect("the call must end"), reply)
     });
 
-    assert_refused(&env, &told, 503);
-    assert_eq!(told.answer.headers.get("connection"), Some("close"));
+    assert_refused(&env, &reply, 503);
+    assert_eq!(reply.response.headers.get("connection"), Some("close"));
     assert_eq!(open.expect("the host must answer").status, 200);
 }
 
-/// Guards against a host that lets connections wait when it has too many.
+/// Guards against a host that lets connections wait above its limit.
 #[test]
 fn a_connection_above_the_limit_is_refused_at_once() {
     let env = env();
@@ -702,21 +742,21 @@
         .filter_map(|_| TcpStream::connect(host.address).ok())
         .collect();
     let caller = Caller::new(host.address).with_key(CALLER_KEY);
-    // The host may still be taking the idle connections over.
-    thread::sleep(AT_ONCE);
+    // The host may still be accepting the idle connections.
+    thread::sleep(REFUSAL_LIMIT);
 
-    let told = chat(&caller, "one too many");
+    let reply = chat(&caller, "one too many");
 
     assert_eq!(idle.len(), 256);
-    assert_refused(&env, &told, 503);
+    assert_refused(&env, &reply, 503);
 }
 
-/// Guards against a failure of an engine that ran the request and is told as
-/// `not_run`, for every fault that the engine stand-in knows.
+/// Guards against `not_run` for a request that ran at an engine which then
+/// failed, for every fault that the engine stand-in can inject.
 #[test]
-fn a_request_that_ran_is_never_told_as_not_run() {
+fn a_request_that_ran_is_never_reported_as_not_run() {
     let env = env();
-    let caller = in_time(env.caller("stred"));
+    let caller = with_deadline(env.caller("stred"));
     let faults = [
         EngineFault::CutAfter(0),
         EngineFault::CutAfter(3),
@@ -730,15 +770,15 @@
         for engine in &env.testbed.engines {
             engine.standin.set_fault(Some(fault));
         }
-        let told = chat(&caller, &format!("{fault:?}"));
+        let reply = chat(&caller, &format!("{fault:?}"));
         let stream = caller.call(
             "POST",
             "/v1/chat/completions",
             chat_body(&format!("{fault:?}"), 16, true),
         );
 
-        assert!(has_run(&env, &told.id()), "{fault:?}");
-        assert!(!told.is_not_run(), "{fault:?}: {:?}", told.answer);
+        assert!(has_run(&env, &reply.id()), "{fault:?}");
+        assert!(!reply.is_not_run(), "{fault:?}: {:?}", reply.response);
         if let Ok(stream) = stream {
             assert_ne!(stream.run_state(), "not_run", "{fault:?}");
         }
