--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,133 +1,135 @@
-//! Whether a request is sent, waits, goes to another region or is refused.
+//! Decides whether a request is sent, queued, forwarded or refused.
 //!
-//! This answers the load at which more prompts arrive than the endpoints of a
-//! region can read. A backlog inside an endpoint can be neither reordered nor
-//! moved, so requests wait here instead, the most urgent first. A request whose
-//! first event would miss its goal is refused when it arrives, with the time at
-//! which the backlog ahead of it will be gone, rather than after a wait that
-//! serves nobody.
+//! This matters when more prompts arrive than the endpoints of a region can
+//! prefill. A backlog inside an endpoint can be neither reordered nor moved, so
+//! requests are queued at the host instead, the most urgent first. A request
+//! whose first event would miss its latency goal is refused on arrival, with the
+//! time after which the backlog ahead of it will be processed, rather than after
+//! a useless wait.
 
 use compact_str::CompactString;
 
 use super::fleet::Choice;
 
-/// Work that may wait inside one endpoint. Enough to keep it busy until this
-/// host has seen an answer and sent the next request.
+/// Largest backlog inside one endpoint. It is enough to keep the endpoint busy
+/// until this host has received a response and sent the next request.
 const MAX_ENDPOINT_BACKLOG_MS: f64 = 500.0;
 /// Cost of a millisecond in the queue of this region. Most requests that wait
-/// there at all are near the part of the goal beyond which waits are costly.
+/// there are close to the share of the goal beyond which waits are costly.
 const QUEUE_WEIGHT: f64 = 2.0;
-/// Shortest time after which a caller is told to return.
+/// Shortest time after which a refused caller is asked to retry.
 const MIN_RETRY_MS: f64 = 150.0;
-/// Callers follow a hint up to this share of the time they have left.
+/// Largest share of its remaining time that a caller waits before it retries.
 const MAX_RETRY_SHARE: f64 = 0.3;
 
-/// What another region offers.
+/// Predicted latency and cost of a request in another region.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AwayOffer {
+pub struct RemoteOffer {
     /// The region.
     pub region: CompactString,
-    /// Predicted time until the first event, the way there and back included.
+    /// Predicted time until the first event, including the round trip.
     pub first_event_ms: f64,
-    /// Cost, comparable to that of a choice in this region.
+    /// Cost, comparable to that of an endpoint of this region.
     pub cost_ms: f64,
 }
 
-/// What is known when a request is placed.
+/// Inputs of the decision about a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Situation {
-    /// Best endpoint of this region, if any may be used.
-    pub here: Option<Choice>,
-    /// Time that requests which wait here with the same or a higher rank take.
+pub struct PlacementContext {
+    /// Best endpoint of this region; none if no endpoint may be used.
+    pub local: Option<Choice>,
+    /// Time that the requests queued in this region with the same or a higher rank
+    /// take.
     pub queue_ms: f64,
-    /// Best offer of another region, if the request may go there.
-    pub away: Option<AwayOffer>,
-    /// Time left until an answer is late.
+    /// Best offer of another region; none if the request may not be forwarded.
+    pub remote: Option<RemoteOffer>,
+    /// Time left until the response misses its latency goal.
     pub goal_left_ms: f64,
-    /// Whole goal.
+    /// Latency goal, counted from the request's arrival.
     pub goal_ms: f64,
-    /// Time left until the caller or the route gives up.
+    /// Time left until the deadline of the caller or the time limit of the route.
     pub time_left_ms: f64,
-    /// The request has waited here already.
+    /// Whether the request is in this host's queue already.
     pub is_waiting: bool,
 }
 
-/// What happens to a request.
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Placement {
-    /// It goes to an endpoint of this region.
+    /// Send it to an endpoint of this region.
     Send(Choice),
-    /// It waits for an endpoint of this region.
+    /// Queue it for an endpoint of this region.
     Wait,
-    /// It goes to another region.
-    Away(AwayOffer),
-    /// It is refused; the caller may come back after so many milliseconds.
+    /// Forward it to another region.
+    Forward(RemoteOffer),
+    /// Refuse it; the caller may retry after this time in milliseconds.
     Refuse(u64),
 }
 
-/// Decides what happens to a request now.
-pub fn place(situation: Situation) -> Placement {
-    let here_ms = situation
-        .here
+/// Decides what happens to a request at this moment.
+pub fn place(context: PlacementContext) -> Placement {
+    let local_ms = context
+        .local
         .as_ref()
-        .map(|choice| choice.first_event_ms + situation.queue_ms);
-    if let Some(offer) = better_away(&situation, here_ms) {
-        return Placement::Away(offer);
+        .map(|choice| choice.first_event_ms + context.queue_ms);
+    if let Some(offer) = cheaper_remote(&context, local_ms) {
+        return Placement::Forward(offer);
     }
-    let Some(here_ms) = here_ms else {
-        return without_endpoint(situation);
+    let Some(local_ms) = local_ms else {
+        return without_endpoint(context);
     };
-    let has_room = situation
-        .here
+    let has_room = context
+        .local
         .as_ref()
         .is_some_and(|choice| choice.backlog_ms <= MAX_ENDPOINT_BACKLOG_MS);
-    // A request that has waited is the most urgent one when it is asked about.
-    let is_next = situation.is_waiting || situation.queue_ms <= 0.0;
-    let goes_now = situation.here.clone().filter(|choice| {
+    // A queued request is only considered while it is the most urgent one.
+    let is_next = context.is_waiting || context.queue_ms <= 0.0;
+    let sendable = context.local.clone().filter(|choice| {
         let is_short =
-            choice.work.is_short_prompt() && choice.first_event_ms <= situation.goal_left_ms;
-        (is_short || (has_room && is_next)) && choice.first_event_ms < situation.time_left_ms
+            choice.work.is_short_prompt() && choice.first_event_ms <= context.goal_left_ms;
+        (is_short || (has_room && is_next)) && choice.first_event_ms < context.time_left_ms
     });
-    if let Some(choice) = goes_now {
+    if let Some(choice) = sendable {
         return Placement::Send(choice);
     }
-    let is_hopeless = here_ms >= situation.time_left_ms;
-    let is_late = here_ms > situation.goal_left_ms;
-    if is_hopeless || (is_late && !situation.is_waiting) {
-        return refuse(&situation, here_ms);
+    let is_hopeless = local_ms >= context.time_left_ms;
+    let is_late = local_ms > context.goal_left_ms;
+    if is_hopeless || (is_late && !context.is_waiting) {
+        return refuse(&context, local_ms);
     }
     Placement::Wait
 }
 
-fn better_away(situation: &Situation, here_ms: Option<f64>) -> Option<AwayOffer> {
-    let offer = situation.away.clone()?;
-    if offer.first_event_ms >= situation.time_left_ms {
+fn cheaper_remote(context: &PlacementContext, local_ms: Option<f64>) -> Option<RemoteOffer> {
+    let offer = context.remote.clone()?;
+    if offer.first_event_ms >= context.time_left_ms {
         return None;
     }
-    match here_ms {
+    match local_ms {
         None => Some(offer),
         Some(_) => {
-            let cost_here_ms = situation.here.as_ref().map_or(0.0, |choice| choice.cost_ms);
-            let queue_cost_ms = situation.queue_ms * QUEUE_WEIGHT;
-            let is_cheaper = offer.cost_ms < cost_here_ms + queue_cost_ms;
-            let is_in_time = offer.first_event_ms <= situation.goal_left_ms;
+            let local_cost_ms = context.local.as_ref().map_or(0.0, |choice| choice.cost_ms);
+            let queue_cost_ms = context.queue_ms * QUEUE_WEIGHT;
+            let is_cheaper = offer.cost_ms < local_cost_ms + queue_cost_ms;
+            let is_in_time = offer.first_event_ms <= context.goal_left_ms;
             (is_cheaper && is_in_time).then_some(offer)
         }
     }
 }
 
-/// No endpoint may be used at this moment; one may be free shortly.
-fn without_endpoint(situation: Situation) -> Placement {
-    let wait_ms = situation.goal_ms / 8.0;
-    if situation.goal_left_ms > situation.goal_ms - wait_ms {
+/// Decides about a request while no endpoint may be used; one may become usable
+/// shortly.
+fn without_endpoint(context: PlacementContext) -> Placement {
+    let wait_ms = context.goal_ms / 8.0;
+    if context.goal_left_ms > context.goal_ms - wait_ms {
         return Placement::Wait;
     }
-    refuse(&situation, situation.goal_ms)
+    refuse(&context, context.goal_ms)
 }
 
-fn refuse(situation: &Situation, here_ms: f64) -> Placement {
-    let excess_ms = here_ms - situation.goal_ms / 2.0;
-    let longest_ms = situation.time_left_ms * MAX_RETRY_SHARE;
+fn refuse(context: &PlacementContext, local_ms: f64) -> Placement {
+    let excess_ms = local_ms - context.goal_ms / 2.0;
+    let longest_ms = context.time_left_ms * MAX_RETRY_SHARE;
     let retry_ms = excess_ms.min(longest_ms).max(MIN_RETRY_MS);
     Placement::Refuse(retry_ms as u64)
 }
--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -1,16 +1,16 @@
-//! Bodies of HTTP/1.1 messages, decoded piece by piece.
+//! Incremental decoding of HTTP/1.1 message bodies.
 
 use thiserror::Error;
 
 use super::head::Framing;
 
-/// Longest line with a chunk size or a trailer field.
+/// Maximum length of a chunk-size line or trailer line.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// The chunked coding is broken.
+/// Error in the chunked transfer coding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the chunked coding is malformed")]
-pub struct BadChunk;
+#[error("chunked transfer coding is malformed")]
+pub struct ChunkError;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChunkState {
@@ -21,18 +21,18 @@
     Done,
 }
 
-/// Decodes one body.
+/// Decoder of one message body.
 #[derive(Debug)]
 pub enum BodyDecoder {
-    /// So many bytes are still to come.
+    /// Body of known length, with the number of bytes that are missing.
     Length(u64),
     /// Chunked transfer coding.
     Chunked(ChunkDecoder),
-    /// The body ends with the connection.
+    /// Body that ends when the connection is closed.
     UntilClose,
 }
 
-/// Decodes the chunked transfer coding; extensions and trailers are dropped.
+/// Decoder of the chunked transfer coding; drops extensions and trailers.
 #[derive(Debug)]
 pub struct ChunkDecoder {
     state: ChunkState,
@@ -40,7 +40,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body with this framing.
+    /// Returns a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::Length(bytes) => Self::Length(bytes),
@@ -52,17 +52,22 @@
         }
     }
 
-    /// Appends the content in `input` to `out` and returns the bytes consumed.
+    /// Appends decoded content of `input` to `out` and returns the number of
+    /// bytes consumed.
     ///
-    /// Fewer than all bytes are consumed only if the body ends within `input`.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BadChunk> {
+    /// Bytes are left over only if the body ends within `input`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the chunked coding is malformed.
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         match self {
-            Self::Length(left) => {
-                let take = usize::try_from(*left)
+            Self::Length(remaining) => {
+                let take = usize::try_from(*remaining)
                     .unwrap_or(usize::MAX)
                     .min(input.len());
                 out.extend_from_slice(&input[..take]);
-                *left -= take as u64;
+                *remaining -= take as u64;
                 Ok(take)
             }
             Self::Chunked(decoder) => decoder.decode(input, out),
@@ -73,10 +78,10 @@
         }
     }
 
-    /// Whether the whole body has been decoded.
+    /// Returns whether the body has been decoded completely.
     pub fn is_done(&self) -> bool {
         match self {
-            Self::Length(left) => *left == 0,
+            Self::Length(remaining) => *remaining == 0,
             Self::Chunked(decoder) => decoder.state == ChunkState::Done,
             Self::UntilClose => false,
         }
@@ -84,17 +89,17 @@
 }
 
 impl ChunkDecoder {
-    fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, BadChunk> {
+    fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         let mut at = 0;
         while at < input.len() && self.state != ChunkState::Done {
-            if let ChunkState::Data(left) = self.state {
+            if let ChunkState::Data(remaining) = self.state {
                 let rest = input.len() - at;
-                let take = usize::try_from(left).unwrap_or(usize::MAX).min(rest);
+                let take = usize::try_from(remaining).unwrap_or(usize::MAX).min(rest);
                 out.extend_from_slice(&input[at..at + take]);
                 at += take;
-                self.state = match left - take as u64 {
+                self.state = match remaining - take as u64 {
                     0 => ChunkState::DataEnd,
-                    left => ChunkState::Data(left),
+                    remaining => ChunkState::Data(remaining),
                 };
                 continue;
             }
@@ -103,19 +108,19 @@
             if byte != b'\n' {
                 self.line.push(byte);
                 if self.line.len() > MAX_LINE_BYTES {
-                    return Err(BadChunk);
+                    return Err(ChunkError);
                 }
                 continue;
             }
             if self.line.pop() != Some(b'\r') || self.line.contains(&b'\r') {
-                return Err(BadChunk);
+                return Err(ChunkError);
             }
             self.finish_line()?;
         }
         Ok(at)
     }
 
-    fn finish_line(&mut self) -> Result<(), BadChunk> {
+    fn finish_line(&mut self) -> Result<(), ChunkError> {
         let line = std::mem::take(&mut self.line);
         self.state = match self.state {
             ChunkState::Size => match chunk_size(&line)? {
@@ -125,23 +130,23 @@
             ChunkState::DataEnd if line.is_empty() => ChunkState::Size,
             ChunkState::Trailer if line.is_empty() => ChunkState::Done,
             ChunkState::Trailer => ChunkState::Trailer,
-            _ => return Err(BadChunk),
+            _ => return Err(ChunkError),
         };
         Ok(())
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BadChunk> {
+fn chunk_size(line: &[u8]) -> Result<u64, ChunkError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).map_err(|_| BadChunk)?;
+    let text = std::str::from_utf8(digits).map_err(|_| ChunkError)?;
     if !is_hex {
-        return Err(BadChunk);
+        return Err(ChunkError);
     }
-    u64::from_str_radix(text, 16).map_err(|_| BadChunk)
+    u64::from_str_radix(text, 16).map_err(|_| ChunkError)
 }
 
-/// Appends `content` as one chunk.
+/// Appends `content` to `out` as one chunk; does nothing if it is empty.
 pub fn write_chunk(content: &[u8], out: &mut Vec<u8>) {
     if content.is_empty() {
         return;
@@ -151,7 +156,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a chunked body.
+/// Appends the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -1,8 +1,9 @@
-//! The thread that serves all connections of a host.
+//! Event loop of the thread that serves all connections of a host.
 //!
-//! One thread owns every connection and every decision, so that no lock is held
-//! and no request waits for another thread. Store, logs and signals have
-//! threads of their own and reach this one through a bounded channel.
+//! A single thread owns all connections and makes all decisions, so that it
+//! takes no lock and no request waits for another thread. The store, logs and
+//! signals have threads of their own, which send to this one through a bounded
+//! channel.
 
 use std::{
     collections::{
@@ -56,9 +57,9 @@
 use super::{
     configuration::Configuration,
     connection::{
-        Client,
+        InboundConnection,
         Role,
-        Upstream,
+        UpstreamConnection,
         UpstreamPhase, //
     },
     exchange::Exchange,
@@ -79,84 +80,89 @@
 
 const WAKER: Token = Token(0);
 const BEACONS: Token = Token(1);
-/// Tokens below this one belong to listeners and fixed sockets.
+/// First token of a connection; lower ones belong to listeners and fixed sockets.
 const FIRST_CONNECTION: usize = 16;
 const FIRST_LISTENER: usize = 2;
-/// Interval of timers while requests are in progress.
+/// Maximum interval between timer checks while requests are in progress.
 const BUSY_TICK: Duration = Duration::from_millis(15);
-/// Interval of timers otherwise.
-const QUIET_TICK: Duration = Duration::from_millis(100);
-/// Interval at which connections are checked for time limits.
-const SWEEP_MS: u64 = 250;
-/// Pause between the end of the last request and the end of the process, in
-/// which callers that hold an older directory answer still reach the host.
-const MIN_LEAVE_MS: u64 = 4_200;
-/// Time after the signal to stop from which new requests are refused. The
-/// platform excuses the end of requests that arrive up to three seconds after
-/// it, and callers have asked the directory again by then.
+/// Maximum interval between timer checks otherwise.
+const IDLE_TICK: Duration = Duration::from_millis(100);
+/// Interval at which connections are checked for timeouts.
+const SWEEP_INTERVAL_MS: u64 = 250;
+/// Minimum time between the stop signal and the end of the process, in which
+/// callers with a cached directory response still reach the host.
+const MIN_SHUTDOWN_MS: u64 = 4_200;
+/// Time after the stop signal from which new requests are refused. The platform
+/// tolerates the failure of requests that arrive up to three seconds after the
+/// signal, and callers have queried the directory again by then.
 const REFUSE_AFTER_MS: u64 = 2_700;
-/// Time before the forced end at which the process ends by itself.
-const END_BEFORE_KILL_MS: u64 = 500;
+/// Time before the forced end of the process at which it exits by itself.
+const EXIT_BEFORE_KILL_MS: u64 = 500;
 
 /// How the reactor ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
-    /// Requests that were cut off.
+pub struct ReactorExit {
+    /// Number of requests that were cut off.
     pub cut_off_count: usize,
 }
 
-/// All state of the serving thread.
+/// State of the serving thread.
 pub struct Reactor {
     pub(super) poll: Poll,
     listeners: Vec<(TcpListener, Role)>,
     pub(super) beacon_socket: UdpSocket,
     updates: Receiver<Update>,
-    pub(super) clients: Slab<Client>,
-    pub(super) upstreams: Slab<Upstream>,
+    pub(super) inbound: Slab<InboundConnection>,
+    pub(super) upstreams: Slab<UpstreamConnection>,
     pub(super) exchanges: Slab<Exchange>,
-    /// Idle connections by address, the latest last.
-    pub(super) idle: HashMap<SocketAddr, Vec<usize>>,
-    /// Requests that wait for an endpoint.
+    /// Keys of idle upstream connections by address, the most recently used last.
+    pub(super) idle_upstreams: HashMap<SocketAddr, Vec<usize>>,
+    /// Keys of the exchanges that wait for an endpoint.
     pub(super) waiting: Vec<usize>,
     pub(super) settings: GatewaySettings,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) fleet: Fleet,
     pub(super) hosts: Hosts,
-    /// What `hosts` says about the own region, renewed with the shares.
+    /// View of this region from `hosts`, updated together with the peer loads.
     pub(super) region_view: RegionView,
-    pub(super) budget: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) telemetry: Telemetry,
     pub(super) random: Pcg64Mcg,
+    /// Moving average of the round trip to each other region.
     pub(super) round_trip_ms: BTreeMap<CompactString, f64>,
     pub(super) started: Instant,
-    pub(super) run_started_ms: u64,
+    pub(super) instance_started_ms: u64,
     pub(super) beacon_sequence: u64,
     pub(super) next_beacon_ms: u64,
-    pub(super) next_away_beacon_ms: u64,
+    pub(super) next_remote_beacon_ms: u64,
     pub(super) next_serial: u64,
     pub(super) is_synchronised: bool,
-    pub(super) leave_started_ms: Option<u64>,
+    pub(super) shutdown_started_ms: Option<u64>,
     pub(super) reload: Option<Box<dyn Fn() -> Option<GatewaySettings>>>,
-    /// What the host believes, to tell other hosts.
+    /// Local copy of the store's items, also served to other hosts.
     pub(super) replica: Option<StoreReplica>,
-    /// Hosts to ask because they know more.
-    pub(super) behind: Option<Sender<SocketAddr>>,
-    /// When the host fell behind, and the revision it knew.
-    pub(super) behind_since: Option<(u64, u64)>,
-    /// When the store was regained; none while it does not answer.
-    pub(super) store_back_ms: Option<u64>,
-    pub(super) next_ask_ms: u64,
-    /// Beacons arrived since the last sum over what other hosts told.
-    pub(super) has_new_shares: bool,
-    pub(super) next_share_update_ms: u64,
+    /// Requests to fetch store changes from the host at an address.
+    pub(super) resync_requests: Option<Sender<SocketAddr>>,
+    /// Time at which this host fell behind another one, and its revision then.
+    pub(super) lag_since: Option<(u64, u64)>,
+    /// Time at which the store became reachable; none while it is unreachable.
+    pub(super) store_recovered_ms: Option<u64>,
+    pub(super) next_resync_ms: u64,
+    /// Loads of other hosts have arrived since the last update of the peer loads.
+    pub(super) has_new_peer_loads: bool,
+    pub(super) next_peer_load_update_ms: u64,
     pub(super) pending_update: PendingUpdate,
-    /// Live hosts of the region, for the thread that follows the store.
+    /// Number of live hosts in the region, for the thread that follows the store.
     host_count: Arc<AtomicU64>,
     next_sweep_ms: u64,
 }
 
 impl Reactor {
-    /// Opens the sockets; updates arrive through `updates`.
+    /// Opens the sockets of a reactor that receives updates from `updates`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket cannot be bound or registered.
     pub fn new(
         settings: GatewaySettings,
         updates: Receiver<Update>,
@@ -190,24 +196,24 @@
             settings.regions.clone(),
             settings.cold,
         );
-        let run_started_ms = std::time::SystemTime::now()
+        let instance_started_ms = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let seed = xxhash_rust::xxh3::xxh3_64(settings.host.name.as_bytes()) ^ run_started_ms;
+        let seed = xxhash_rust::xxh3::xxh3_64(settings.host.name.as_bytes()) ^ instance_started_ms;
         Ok(Self {
             poll,
             listeners,
             beacon_socket,
             updates,
-            clients: Slab::new(),
+            inbound: Slab::new(),
             upstreams: Slab::new(),
             exchanges: Slab::new(),
-            idle: HashMap::new(),
+            idle_upstreams: HashMap::new(),
             waiting: Vec::new(),
             hosts: Hosts::new(settings.host.clone()),
             region_view: RegionView::default(),
-            budget: RetryBudget::new(settings.retry),
+            retry_budget: RetryBudget::new(settings.retry),
             settings,
             configuration: None,
             fleet,
@@ -215,60 +221,69 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             round_trip_ms: BTreeMap::new(),
             started: Instant::now(),
-            run_started_ms,
+            instance_started_ms,
             beacon_sequence: 0,
             next_beacon_ms: 0,
-            next_away_beacon_ms: 0,
+            next_remote_beacon_ms: 0,
             next_serial: 0,
             is_synchronised: false,
-            leave_started_ms: None,
+            shutdown_started_ms: None,
             reload: None,
             replica: None,
-            behind: None,
-            behind_since: None,
-            store_back_ms: None,
-            next_ask_ms: 0,
-            has_new_shares: false,
-            next_share_update_ms: 0,
+            resync_requests: None,
+            lag_since: None,
+            store_recovered_ms: None,
+            next_resync_ms: 0,
+            has_new_peer_loads: false,
+            next_peer_load_update_ms: 0,
             pending_update: PendingUpdate::default(),
             host_count: Arc::new(AtomicU64::new(1)),
             next_sweep_ms: 0,
         })
     }
 
-    /// A waker for the threads that send updates.
+    /// Creates a waker for the threads that send updates.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the waker cannot be registered.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
         Waker::new(self.poll.registry(), WAKER).map(Arc::new)
     }
 
-    /// Number of live hosts in the region, kept up to date.
+    /// Returns the number of live hosts in the region, updated continuously.
     pub fn host_count(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.host_count)
     }
 
-    /// Sets what reads the settings again.
+    /// Sets the function that reads the settings again.
     pub fn with_reload(mut self, reload: Box<dyn Fn() -> Option<GatewaySettings>>) -> Self {
         self.reload = Some(reload);
         self
     }
 
-    /// Sets what the host believes and where it asks others for more.
-    pub fn set_replica(&mut self, replica: StoreReplica, behind: Sender<SocketAddr>) {
+    /// Sets the store replica and the channel for requests to fetch changes from
+    /// other hosts.
+    pub fn set_replica(&mut self, replica: StoreReplica, resync_requests: Sender<SocketAddr>) {
         self.replica = Some(replica);
-        self.behind = Some(behind);
+        self.resync_requests = Some(resync_requests);
     }
 
-    /// Steady time since the start of the reactor.
+    /// Returns the monotonic time since the start of the reactor.
     pub(super) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Serves until the process has to end.
-    pub fn run(&mut self) -> io::Result<Ended> {
+    /// Serves until the host has shut down.
+    ///
+    /// # Errors
+    ///
+    /// Fails if polling for events fails.
+    pub fn run(&mut self) -> io::Result<ReactorExit> {
         let mut events = Events::with_capacity(256);
         loop {
             let timeout = if self.exchanges.is_empty() {
-                QUIET_TICK
+                IDLE_TICK
             } else {
                 BUSY_TICK
             };
@@ -278,17 +293,17 @@
                 Err(error) => return Err(error),
             }
             for event in &events {
-                self.dispatch(event);
+                self.handle_event(event);
             }
-            self.take_updates();
+            self.receive_updates();
             self.tick();
-            if let Some(ended) = self.ended() {
-                return Ok(ended);
+            if let Some(exit) = self.exit_if_done() {
+                return Ok(exit);
             }
         }
     }
 
-    fn dispatch(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         match event.token() {
             WAKER => {}
             BEACONS => self.receive_beacons(),
@@ -296,7 +311,7 @@
             Token(index) => {
                 let key = (index - FIRST_CONNECTION) / 2;
                 if (index - FIRST_CONNECTION).is_multiple_of(2) {
-                    self.client_event(key, event);
+                    self.inbound_event(key, event);
                 } else {
                     self.upstream_event(key, event);
                 }
@@ -311,27 +326,29 @@
             };
             let role = *role;
             match listener.accept() {
-                Ok((stream, _)) => self.add_client(stream, role),
+                Ok((stream, _)) => self.add_inbound(stream, role),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    tracing::warn!(%error, "could not accept a connection");
+                    tracing::warn!(%error, "could not accept a connection; the listener continues");
                     return;
                 }
             }
         }
     }
 
-    fn add_client(&mut self, stream: TcpStream, role: Role) {
+    fn add_inbound(&mut self, stream: TcpStream, role: Role) {
         let now_ms = self.now_ms();
-        let key = self.clients.insert(Client::new(stream, role, now_ms));
+        let key = self
+            .inbound
+            .insert(InboundConnection::new(stream, role, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2);
-        if !register(&self.poll, &mut self.clients[key].wire.stream, token) {
-            self.clients.remove(key);
+        if !register(&self.poll, &mut self.inbound[key].socket.stream, token) {
+            self.inbound.remove(key);
         }
     }
 
-    /// Opens a connection to an endpoint or a host; none if that fails at once.
+    /// Starts to connect to an endpoint or host; none if that fails immediately.
     pub(super) fn connect(&mut self, address: SocketAddr) -> Option<usize> {
         let now_ms = self.now_ms();
         let stream = match TcpStream::connect(address) {
@@ -343,16 +360,16 @@
         };
         let key = self
             .upstreams
-            .insert(Upstream::new(stream, address, now_ms));
+            .insert(UpstreamConnection::new(stream, address, now_ms));
         let token = Token(FIRST_CONNECTION + key * 2 + 1);
-        if !register(&self.poll, &mut self.upstreams[key].wire.stream, token) {
+        if !register(&self.poll, &mut self.upstreams[key].socket.stream, token) {
             self.upstreams.remove(key);
             return None;
         }
         Some(key)
     }
 
-    fn take_updates(&mut self) {
+    fn receive_updates(&mut self) {
         while let Ok(update) = self.updates.try_recv() {
             self.apply_update(update);
         }
@@ -367,69 +384,69 @@
         self.serve_waiting(now_ms);
         self.send_load_update(now_ms);
         if now_ms >= self.next_sweep_ms {
-            self.next_sweep_ms = now_ms + SWEEP_MS;
+            self.next_sweep_ms = now_ms + SWEEP_INTERVAL_MS;
             self.sweep(now_ms);
         }
     }
 
-    /// Closes connections that are idle for too long.
+    /// Closes connections that have been idle for too long.
     fn sweep(&mut self, now_ms: u64) {
-        self.sweep_clients(now_ms);
+        self.sweep_inbound(now_ms);
         self.fleet.drop_withdrawn(now_ms);
-        let stale: Vec<usize> = self
+        let expired: Vec<usize> = self
             .upstreams
             .iter()
             .filter(|(_, upstream)| {
-                upstream.phase == UpstreamPhase::Idle && now_ms >= upstream.idle_limit_ms
+                upstream.phase == UpstreamPhase::Idle && now_ms >= upstream.idle_deadline_ms
             })
             .map(|(key, _)| key)
             .collect();
-        for key in stale {
+        for key in expired {
             self.close_upstream(key);
         }
         let host_count = self.region_view.host_count as u64;
         self.host_count.store(host_count, Ordering::Relaxed);
     }
 
-    /// Whether new requests are refused because the process ends soon.
-    pub(super) fn refuses_new(&self, now_ms: u64) -> bool {
-        self.leave_started_ms
+    /// Returns whether new requests are refused because the process ends soon.
+    pub(super) fn is_refusing_new(&self, now_ms: u64) -> bool {
+        self.shutdown_started_ms
             .is_some_and(|started_ms| now_ms >= started_ms + REFUSE_AFTER_MS)
     }
 
-    fn ended(&self) -> Option<Ended> {
-        let started_ms = self.leave_started_ms?;
+    fn exit_if_done(&self) -> Option<ReactorExit> {
+        let started_ms = self.shutdown_started_ms?;
         let now_ms = self.now_ms();
-        let is_forced = now_ms + END_BEFORE_KILL_MS >= started_ms + self.settings.shutdown_ms;
+        let is_forced = now_ms + EXIT_BEFORE_KILL_MS >= started_ms + self.settings.shutdown_ms;
         let is_idle = self.exchanges.is_empty()
             && self
                 .upstreams
                 .iter()
                 .all(|(_, upstream)| upstream.phase != UpstreamPhase::Busy);
-        let is_done = is_idle && now_ms >= started_ms + MIN_LEAVE_MS;
-        (is_forced || is_done).then(|| Ended {
+        let is_done = is_idle && now_ms >= started_ms + MIN_SHUTDOWN_MS;
+        (is_forced || is_done).then(|| ReactorExit {
             cut_off_count: self.exchanges.len(),
         })
     }
 
-    /// A random number in `0.0..1.0`.
-    pub(super) fn draw(&mut self) -> f64 {
+    /// Returns a random number in `0.0..1.0`.
+    pub(super) fn random_fraction(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// A random index below `count`.
-    pub(super) fn draw_index(&mut self, count: usize) -> usize {
+    /// Returns a random index below `count`.
+    pub(super) fn random_index(&mut self, count: usize) -> usize {
         (self.random.next_u64() % count.max(1) as u64) as usize
     }
 }
 
-/// Registers a connection for both directions; false if that fails.
+/// Registers a connection for reading and writing; false if that fails.
 fn register(poll: &Poll, stream: &mut TcpStream, token: Token) -> bool {
     let interest = Interest::READABLE | Interest::WRITABLE;
     match poll.registry().register(stream, token, interest) {
         Ok(()) => true,
         Err(error) => {
-            tracing::warn!(%error, "could not register a connection");
+            tracing::warn!(%error, "could not register a connection for polling; it is closed");
             false
         }
     }
--- /dev/null
+++ b/src/gateway/serve_completion.rs
@@ -0,0 +1,337 @@
+//! The end of dispatches and requests: failures, retries, refusals, time limits.
+//!
+//! A request that must not run twice is sent to another endpoint only if nothing
+//! of it was sent, or if the endpoint states that it did not run it. A caller is
+//! informed that a request has not run only by code that has the unsent request.
+
+use super::{
+    endpoint::Failure,
+    exchange::{
+        Destination,
+        Exchange, //
+    },
+    reactor::Reactor,
+    response::{
+        GatewayResponse,
+        write_gateway_response, //
+    },
+    serve_upstream::UpstreamError, //
+};
+
+/// Maximum number of endpoints tried for a request that none of them runs.
+/// Endpoints that no longer exist refuse connections within milliseconds.
+pub(super) const MAX_EXCLUDED_ENDPOINTS: usize = 8;
+/// Retry time for callers if no endpoint could be reached.
+pub(super) const UNREACHABLE_RETRY_MS: u64 = 300;
+/// Minimum time without progress after which a retryable request is sent to
+/// another endpoint.
+const MIN_STALL_MS: u64 = 1_200;
+/// Like [`MIN_STALL_MS`], for another region, whose latency is predicted less
+/// accurately.
+const REMOTE_STALL_MS: u64 = 2_500;
+/// Multiple of the predicted time to the first event after which the request
+/// counts as stalled.
+const STALL_FACTOR: f64 = 4.0;
+
+impl Reactor {
+    /// Handles a dispatch that failed before its response was complete.
+    pub(super) fn dispatch_failed(&mut self, key: usize, error: UpstreamError) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let destination = exchange.destination().cloned();
+        let failure = match error {
+            UpstreamError::Unreachable => Failure::Unreachable,
+            UpstreamError::Broken => Failure::Broken,
+        };
+        match destination {
+            Some(Destination::Endpoint(choice)) if error == UpstreamError::Broken => {
+                exchange.avoided_endpoints.push(choice.endpoint);
+            }
+            Some(Destination::Endpoint(choice)) => {
+                exchange.excluded_endpoints.push(choice.endpoint)
+            }
+            Some(Destination::Region { region, .. }) => exchange.excluded_regions.push(region),
+            None => {}
+        }
+        exchange.buffered.clear();
+        exchange.events.discard_partial();
+        let excluded = exchange.excluded_endpoints.len() + exchange.excluded_regions.len();
+        self.end_dispatch(key, Some(failure), now_ms);
+        if error == UpstreamError::Unreachable {
+            if self.exchanges[key].has_response_begun {
+                return self.cut_off(key, "no endpoint could be reached");
+            }
+            if excluded < MAX_EXCLUDED_ENDPOINTS {
+                return self.place_exchange(key);
+            }
+            return self.refuse(key, "no endpoint could be reached", UNREACHABLE_RETRY_MS);
+        }
+        if self.try_retry(key, "connection broke") {
+            return;
+        }
+        if self.exchanges.get(key).is_none() {
+            return;
+        }
+        if self.exchanges[key].has_response_begun {
+            self.cut_off(key, "answer broke off");
+        } else {
+            self.fail(key, "answer broke off", GatewayResponse::new(502));
+        }
+    }
+
+    /// Marks the current endpoint as one to avoid in the next placement.
+    pub(super) fn avoid_destination(&mut self, key: usize) {
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        if let Some(Destination::Endpoint(choice)) = exchange.destination() {
+            let endpoint = choice.endpoint.clone();
+            exchange.avoided_endpoints.push(endpoint);
+        }
+    }
+
+    /// Sends a request that may have run to another endpoint, if it is retryable
+    /// and the retry budget allows it; returns whether it did.
+    pub(super) fn try_retry(&mut self, key: usize, cause: &str) -> bool {
+        let now_ms = self.now_ms();
+        let hosts = self.hosts.live_count(now_ms);
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return false;
+        };
+        let is_retryable = exchange.route.is_retryable()
+            && exchange.inbound.is_some()
+            && exchange.run_count < exchange.route.max_attempts
+            && now_ms < exchange.deadline_ms;
+        if !is_retryable {
+            return false;
+        }
+        let service = exchange.route.service.clone();
+        let attempt = exchange.request.metadata.attempt_id.clone();
+        let is_allowed = self.retry_budget.try_take(&service, hosts, now_ms);
+        tracing::info!(request = %attempt, cause, is_allowed, "retry decided");
+        if is_allowed {
+            self.telemetry.count_retry();
+            self.exchanges[key].buffered.clear();
+            self.place_exchange(key);
+        }
+        is_allowed
+    }
+
+    /// Ends the current dispatch of a request and records its result.
+    pub(super) fn end_dispatch(&mut self, key: usize, failure: Option<Failure>, now_ms: u64) {
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let Some(dispatch) = exchange.dispatch.take() else {
+            return;
+        };
+        let was_sent = !matches!(
+            failure,
+            Some(Failure::Unreachable | Failure::Shed | Failure::Replaced)
+        );
+        if was_sent {
+            exchange.run_count += 1;
+        }
+        if let Some(upstream) = self.upstreams.get_mut(dispatch.upstream)
+            && upstream.exchange == Some(key)
+        {
+            upstream.exchange = None;
+        }
+        if let Destination::Endpoint(choice) = &dispatch.destination
+            && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
+        {
+            endpoint.record_end(choice.work, dispatch.has_begun);
+            self.pending_update.record_change(&choice.endpoint);
+            let blocked = failure.is_some_and(|failure| endpoint.record_failure(failure, now_ms));
+            if blocked {
+                let for_ms = endpoint.blocked_until_ms().saturating_sub(now_ms);
+                tracing::warn!(
+                    endpoint = %choice.endpoint,
+                    ?failure,
+                    for_ms,
+                    "endpoint failed; it is not used for a while"
+                );
+                if matches!(failure, Some(Failure::Unreachable | Failure::Replaced)) {
+                    self.pending_update.record_block(endpoint.hash, for_ms);
+                }
+            }
+        }
+    }
+
+    /// Refuses a request that was not sent, or that no endpoint ran.
+    pub(super) fn refuse(&mut self, key: usize, cause: &'static str, retry_ms: u64) {
+        let Some(exchange) = self.exchanges.get(key) else {
+            return;
+        };
+        // An endpoint may have run it, so the response must not say otherwise.
+        if exchange.run_count > 0 {
+            if exchange.has_response_begun {
+                return self.cut_off(key, cause);
+            }
+            return self.fail(key, cause, GatewayResponse::new(502));
+        }
+        self.fail(key, cause, GatewayResponse::refusal(retry_ms));
+    }
+
+    /// Ends a request with a response of the gateway itself.
+    pub(super) fn fail(&mut self, key: usize, cause: &'static str, response: GatewayResponse) {
+        let is_leaving = self.shutdown_started_ms.is_some();
+        let Some(exchange) = self.exchanges.get(key) else {
+            return;
+        };
+        if let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
+        {
+            inbound.is_closing |= is_leaving;
+            let is_closing = inbound.is_closing;
+            write_gateway_response(
+                response,
+                "text/plain",
+                b"",
+                is_closing,
+                inbound.socket.output(),
+            );
+        }
+        self.end_exchange(key, cause, response.status);
+    }
+
+    /// Aborts a response that has begun and cannot be completed: the connection
+    /// is closed without the end of the body.
+    pub(super) fn cut_off(&mut self, key: usize, cause: &'static str) {
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let inbound = exchange.inbound.take();
+        self.end_exchange(key, cause, 0);
+        if let Some(inbound) = inbound {
+            if let Some(connection) = self.inbound.get_mut(inbound) {
+                connection.exchange = None;
+                connection.socket.flush();
+            }
+            self.close_inbound(inbound);
+        }
+    }
+
+    pub(super) fn end_exchange(&mut self, key: usize, outcome: &'static str, status: u16) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.try_remove(key) else {
+            return;
+        };
+        self.waiting.retain(|other| *other != key);
+        let total_ms = now_ms.saturating_sub(exchange.arrived_ms);
+        self.telemetry
+            .request_ended(&exchange, outcome, status, total_ms, now_ms);
+        if let Some(inbound) = exchange.inbound {
+            self.finish_inbound_request(inbound);
+        }
+    }
+
+    /// Handles the disconnection of a caller.
+    pub(super) fn caller_disconnected(&mut self, key: usize) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        exchange.inbound = None;
+        let dispatch = exchange.dispatch.as_ref().map(|dispatch| dispatch.upstream);
+        if exchange.route.runs_without_caller() && dispatch.is_some() {
+            return;
+        }
+        self.end_dispatch(key, None, now_ms);
+        if let Some(upstream) = dispatch {
+            self.close_upstream(upstream);
+        }
+        self.end_exchange(key, "caller left", 0);
+    }
+
+    /// Ends requests whose deadline has passed and retries stalled ones.
+    pub(super) fn check_exchanges(&mut self, now_ms: u64) {
+        if self.exchanges.is_empty() {
+            return;
+        }
+        self.check_connecting(now_ms);
+        let mut expired = Vec::new();
+        let mut stalled = Vec::new();
+        for (key, exchange) in &self.exchanges {
+            if now_ms >= exchange.deadline_ms {
+                expired.push(key);
+            } else if is_stalled(exchange, now_ms) {
+                stalled.push(key);
+            }
+        }
+        for key in expired {
+            self.time_out(key, now_ms);
+        }
+        for key in stalled {
+            self.retry_stalled(key);
+        }
+    }
+
+    pub(super) fn time_out(&mut self, key: usize, now_ms: u64) {
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let Some(dispatch) = exchange.dispatch.clone() else {
+            return self.refuse(key, "no endpoint in time", UNREACHABLE_RETRY_MS);
+        };
+        let runs_on = exchange.route.runs_without_caller();
+        self.end_dispatch(key, None, now_ms);
+        if !runs_on {
+            self.close_upstream(dispatch.upstream);
+        }
+        if self.exchanges[key].has_response_begun {
+            self.cut_off(key, "time limit during the answer");
+        } else {
+            self.fail(key, "time limit", GatewayResponse::new(504));
+        }
+    }
+
+    /// Sends a stalled request to another endpoint, if the retry budget allows it.
+    pub(super) fn retry_stalled(&mut self, key: usize) {
+        let now_ms = self.now_ms();
+        let hosts = self.hosts.live_count(now_ms);
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let Some(dispatch) = exchange.dispatch.clone() else {
+            return;
+        };
+        let service = exchange.route.service.clone();
+        if !self.retry_budget.try_take(&service, hosts, now_ms) {
+            return;
+        }
+        let exchange = &mut self.exchanges[key];
+        tracing::info!(
+            request = %exchange.request.metadata.attempt_id,
+            silent_ms = now_ms.saturating_sub(dispatch.progress_ms),
+            "endpoint stalled; request is sent to another one"
+        );
+        exchange.buffered.clear();
+        exchange.events.discard_partial();
+        self.avoid_destination(key);
+        self.end_dispatch(key, Some(Failure::Broken), now_ms);
+        self.close_upstream(dispatch.upstream);
+        self.telemetry.count_retry();
+        self.place_exchange(key);
+    }
+}
+
+fn is_stalled(exchange: &Exchange, now_ms: u64) -> bool {
+    let Some(dispatch) = &exchange.dispatch else {
+        return false;
+    };
+    let is_retryable = exchange.route.is_retryable()
+        && exchange.inbound.is_some()
+        && exchange.run_count + 1 < exchange.route.max_attempts;
+    let limit_ms = match &dispatch.destination {
+        Destination::Region { .. } => REMOTE_STALL_MS,
+        Destination::Endpoint(_) if dispatch.has_begun => MIN_STALL_MS,
+        Destination::Endpoint(choice) => {
+            MIN_STALL_MS.max((choice.first_event_ms * STALL_FACTOR) as u64)
+        }
+    };
+    is_retryable && now_ms >= dispatch.progress_ms + limit_ms
+}
--- a/src/gateway/serve_sending.rs
+++ b/src/gateway/serve_dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a request to an endpoint or to another region.
+//! Sends a request to an endpoint or to another region.
 
 use std::rc::Rc;
 
@@ -8,32 +8,32 @@
 };
 
 use super::{
-    admission::AwayOffer,
-    answer::{
-        FORWARD_HEADER,
-        write_request_start, //
-    },
+    admission::RemoteOffer,
     connection::{
-        Answering,
+        ResponseProgress,
         UpstreamPhase, //
     },
     exchange::{
         Destination,
-        Placed,
-        Sending, //
+        Dispatch,
+        PlacementRecord, //
     },
     fleet::Choice,
     head::Framing,
     reactor::Reactor,
-    serve_ending::UNREACHABLE_RETRY_MS, //
-    serve_endpoint::Breakage,
+    response::{
+        FORWARD_HEADER,
+        write_request_start, //
+    },
+    serve_completion::UNREACHABLE_RETRY_MS,
+    serve_upstream::UpstreamError, //
 };
 use crate::platform::headers::{
     EndpointHeaders,
-    is_passed_on, //
+    is_relayed, //
 };
 
-/// Weight of a new observation in the round trip to another region.
+/// Weight of a new sample in the moving average of a round trip.
 const ROUND_TRIP_LEARN_WEIGHT: f64 = 0.2;
 
 impl Reactor {
@@ -47,21 +47,21 @@
             return;
         };
         endpoint.record_send(choice.work, now_ms);
-        let call = &exchange.request.call;
-        endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
+        let metadata = &exchange.request.metadata;
+        endpoint.record_prompt(metadata, now_ms + choice.first_event_ms as u64);
         self.pending_update
-            .record_send(&choice, endpoint.hash, call);
+            .record_send(&choice, endpoint.hash, metadata);
         let headers = EndpointHeaders {
             endpoint: Some(choice.endpoint.clone()),
             time_left_ms: exchange.deadline_ms.saturating_sub(now_ms).max(1),
             priority: exchange
-                .plan
+                .route
                 .priority
-                .filter(|_| !exchange.request.call.parts.is_empty()),
-            last_event: self.resume_header(key),
+                .filter(|_| !exchange.request.metadata.parts.is_empty()),
+            last_event_id: self.resume_header(key),
             fetch_from: choice.fetch_from,
         };
-        self.exchanges[key].placed = Some(Placed {
+        self.exchanges[key].placement = Some(PlacementRecord {
             destination: choice.endpoint.clone(),
             predicted_ms: choice.first_event_ms as u64,
             backlog_ms: choice.backlog_ms as u64,
@@ -69,7 +69,7 @@
             sent_ms: now_ms,
         });
         tracing::debug!(
-            request = %self.exchanges[key].request.call.attempt,
+            request = %self.exchanges[key].request.metadata.attempt_id,
             endpoint = %choice.endpoint,
             predicted_ms = choice.first_event_ms as u64,
             backlog_ms = choice.backlog_ms as u64,
@@ -79,7 +79,7 @@
         self.send(key, address, destination, &headers, None);
     }
 
-    pub(super) fn send_away(&mut self, key: usize, offer: AwayOffer) {
+    pub(super) fn send_to_region(&mut self, key: usize, offer: RemoteOffer) {
         let now_ms = self.now_ms();
         let Some(host) = self.random_host(&offer.region, now_ms) else {
             return;
@@ -87,16 +87,16 @@
         let Some(exchange) = self.exchanges.get(key) else {
             return;
         };
-        let mut plan = exchange.plan.clone();
-        // Repeats are decided here alone, so that two regions cannot both use
-        // up the attempts.
-        plan.max_attempts = 1;
-        plan.goal_ms = exchange.goal_at_ms.saturating_sub(now_ms);
-        plan.timeout_ms = exchange.deadline_ms.saturating_sub(now_ms);
-        let encoded = match plan.encode() {
+        let mut route = exchange.route.clone();
+        // Retries are decided in this region alone, so that two regions cannot
+        // both use up the attempts.
+        route.max_attempts = 1;
+        route.goal_ms = exchange.goal_at_ms.saturating_sub(now_ms);
+        route.timeout_ms = exchange.deadline_ms.saturating_sub(now_ms);
+        let encoded = match route.encode() {
             Ok(encoded) => encoded,
             Err(error) => {
-                tracing::error!(%error, "could not encode a plan");
+                tracing::error!(%error, "could not encode the route of a forwarded request; request is refused");
                 return self.refuse(key, "plan could not be encoded", UNREACHABLE_RETRY_MS);
             }
         };
@@ -104,18 +104,18 @@
             endpoint: None,
             time_left_ms: exchange.deadline_ms.saturating_sub(now_ms).max(1),
             priority: None,
-            last_event: self.resume_header(key),
+            last_event_id: self.resume_header(key),
             fetch_from: None,
         };
-        let service = exchange.plan.service.clone();
+        let service = exchange.route.service.clone();
         tracing::debug!(
-            request = %exchange.request.call.attempt,
+            request = %exchange.request.metadata.attempt_id,
             region = %offer.region,
             host = %host.name,
             predicted_ms = offer.first_event_ms as u64,
             "request sent to another region"
         );
-        self.exchanges[key].placed = Some(Placed {
+        self.exchanges[key].placement = Some(PlacementRecord {
             destination: format_compact!("{}/{}", offer.region, host.name),
             predicted_ms: offer.first_event_ms as u64,
             backlog_ms: 0,
@@ -124,12 +124,12 @@
         });
         let request = Rc::clone(&self.exchanges[key].request);
         let service = self.service(&service);
-        let work_ms = self.fleet.service_ms(&service, &request.call, now_ms);
+        let work_ms = self.fleet.service_ms(&service, &request.metadata, now_ms);
         self.hosts
-            .record_away(&offer.region, &service.name, work_ms);
+            .record_remote_work(&offer.region, &service.name, work_ms);
         self.fleet
-            .remember_away(&offer.region, &request.call, now_ms);
-        self.telemetry.count_away();
+            .record_remote_prompt(&offer.region, &request.metadata, now_ms);
+        self.telemetry.count_remote();
         let destination = Destination::Region {
             region: offer.region,
             host: host.name,
@@ -137,7 +137,7 @@
         self.send(key, host.peer_address, destination, &headers, Some(encoded));
     }
 
-    /// The event after which the next endpoint goes on, if the stream resumes.
+    /// Returns the id of the event after which the next endpoint has to continue.
     pub(super) fn resume_header(&self, key: usize) -> Option<CompactString> {
         let exchange = self.exchanges.get(key)?;
         exchange.resume_after()
@@ -169,22 +169,22 @@
             self.waiting.retain(|other| *other != key);
         }
         let Some(upstream) = upstream else {
-            exchange.sending = Some(Sending {
+            exchange.dispatch = Some(Dispatch {
                 destination,
                 upstream: usize::MAX,
                 sent_ms: now_ms,
                 has_begun: false,
-                is_good: false,
+                is_success: false,
                 progress_ms: now_ms,
             });
-            return self.sending_failed(key, Breakage::Unreachable);
+            return self.dispatch_failed(key, UpstreamError::Unreachable);
         };
-        exchange.sending = Some(Sending {
+        exchange.dispatch = Some(Dispatch {
             destination,
             upstream,
             sent_ms: now_ms,
             has_begun: false,
-            is_good: false,
+            is_success: false,
             progress_ms: now_ms,
         });
         let is_head_request = exchange.request.head.method == "HEAD";
@@ -194,12 +194,12 @@
         connection.is_paused = false;
         connection.is_head_request = is_head_request;
         connection.request_count += 1;
-        connection.answering = Answering::Head;
-        connection.wire.queue(&bytes);
+        connection.response_progress = ResponseProgress::Head;
+        connection.socket.queue(&bytes);
         if connection.phase == UpstreamPhase::Idle {
             connection.phase = UpstreamPhase::Busy;
-            // A failed write shows as a failed read.
-            connection.wire.flush();
+            // A write error also shows up as a read error.
+            connection.socket.flush();
         }
     }
 
@@ -213,16 +213,16 @@
             return Vec::new();
         };
         let request = &exchange.request;
-        let resumes = headers.last_event.is_some();
+        let is_resumed = headers.last_event_id.is_some();
         let mut bytes = Vec::with_capacity(request.body.len() + 768);
         write_request_start(
             &request.head,
-            |header| is_passed_on(header, resumes),
+            |header| is_relayed(header, is_resumed),
             &mut bytes,
         );
         headers.write(&mut bytes);
-        if let Some(plan) = forward {
-            bytes.extend_from_slice(format!("{FORWARD_HEADER}: {plan}\r\n").as_bytes());
+        if let Some(encoded_route) = forward {
+            bytes.extend_from_slice(format!("{FORWARD_HEADER}: {encoded_route}\r\n").as_bytes());
         }
         let had_length = request.head.header("content-length").is_some();
         if !request.body.is_empty() || had_length || request.head.framing == Framing::Chunked {
@@ -234,13 +234,13 @@
         bytes
     }
 
-    /// A connection for an exchange has been made.
+    /// Updates the round trip to a region with the time a connection took.
     pub(super) fn record_connected(&mut self, exchange: Option<usize>, connect_ms: u64) {
-        let sending = exchange
+        let dispatch = exchange
             .and_then(|exchange| self.exchanges.get(exchange))
-            .and_then(|exchange| exchange.sending.as_ref());
+            .and_then(|exchange| exchange.dispatch.as_ref());
         if let Some(Destination::Region { region, .. }) =
-            sending.map(|sending| &sending.destination)
+            dispatch.map(|dispatch| &dispatch.destination)
         {
             let measured = connect_ms as f64;
             let known = self.round_trip_ms.entry(region.clone()).or_insert(measured);
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -43,7 +43,7 @@
 /// the platform's two seconds and the time on the way.
 const ANNOUNCEMENT_RETURN_MS: u64 = 2_200;
 /// Interval of beacons to one host of each other region.
-const AWAY_BEACON_INTERVAL_MS: u64 = 400;
+const REMOTE_BEACON_INTERVAL_MS: u64 = 400;
 
 impl Reactor {
     pub(super) fn apply_update(&mut self, update: Update) {
@@ -91,7 +91,7 @@
             }
             Update::StoreReachable(is_reachable) => {
                 self.hosts.set_store_reachable(is_reachable);
-                self.store_back_ms = is_reachable.then_some(now_ms);
+                self.store_recovered_ms = is_reachable.then_some(now_ms);
             }
             Update::Synchronised => self.is_synchronised = true,
             Update::Stop => self.leave(now_ms),
@@ -105,7 +105,7 @@
     /// live, and are back shortly after it.
     fn withdrawal_delay_ms(&self, now_ms: u64) -> u64 {
         let is_settled = self
-            .store_back_ms
+            .store_recovered_ms
             .is_some_and(|back_ms| now_ms >= back_ms + ANNOUNCEMENT_RETURN_MS);
         if is_settled {
             0
@@ -143,7 +143,7 @@
     }
 
     fn leave(&mut self, now_ms: u64) {
-        if self.leave_started_ms.is_some() {
+        if self.shutdown_started_ms.is_some() {
             return;
         }
         tracing::info!(
@@ -151,10 +151,10 @@
             limit_ms = self.settings.shutdown_ms,
             "stopping; requests in progress are finished"
         );
-        self.leave_started_ms = Some(now_ms);
-        self.hosts.leave();
+        self.shutdown_started_ms = Some(now_ms);
+        self.hosts.set_leaving();
         self.next_beacon_ms = 0;
-        self.next_away_beacon_ms = 0;
+        self.next_remote_beacon_ms = 0;
     }
 
     /// Sends beacons that are due.
@@ -166,15 +166,15 @@
                 .clamp(MIN_BEACON_INTERVAL_MS, MAX_BEACON_INTERVAL_MS);
             self.next_beacon_ms = now_ms + interval_ms;
             if !peers.is_empty() {
-                let beacon = self.region_beacon();
+                let beacon = self.local_beacon();
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
-        if now_ms >= self.next_away_beacon_ms {
-            self.next_away_beacon_ms = now_ms + AWAY_BEACON_INTERVAL_MS;
+        if now_ms >= self.next_remote_beacon_ms {
+            self.next_remote_beacon_ms = now_ms + REMOTE_BEACON_INTERVAL_MS;
             let peers = self.one_host_of_each_region(now_ms);
             if !peers.is_empty() {
-                let beacon = self.away_beacon(now_ms);
+                let beacon = self.remote_beacon(now_ms);
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
@@ -216,10 +216,10 @@
         }
         // Other hosts may be as far behind, so only progress ends the lag.
         let (since_ms, _) = *self
-            .behind_since
+            .lag_since
             .filter(|(_, revision)| *revision == known)
             .get_or_insert((now_ms, known));
-        self.behind_since = Some((since_ms, known));
+        self.lag_since = Some((since_ms, known));
         if now_ms >= since_ms + BEHIND_MS {
             self.ask(beacon.host.peer_address, now_ms);
         }
@@ -230,7 +230,7 @@
         if self.is_synchronised || self.settings.seeds.is_empty() || now_ms < SEED_DELAY_MS {
             return;
         }
-        let index = self.draw_index(self.settings.seeds.len());
+        let index = self.random_index(self.settings.seeds.len());
         let seed = self.settings.seeds[index];
         if seed != self.settings.host.peer_address {
             self.ask(seed, now_ms);
@@ -238,13 +238,13 @@
     }
 
     fn ask(&mut self, peer: std::net::SocketAddr, now_ms: u64) {
-        if now_ms < self.next_ask_ms {
+        if now_ms < self.next_resync_ms {
             return;
         }
-        self.next_ask_ms = now_ms + ASK_INTERVAL_MS;
-        if let Some(behind) = &self.behind {
+        self.next_resync_ms = now_ms + ASK_INTERVAL_MS;
+        if let Some(requests) = &self.resync_requests {
             // A host that is still being asked is enough.
-            let _ = behind.try_send(peer);
+            let _ = requests.try_send(peer);
         }
     }
 
@@ -252,17 +252,17 @@
         self.beacon_sequence += 1;
         Beacon {
             host: self.settings.host.clone(),
-            started_ms: self.run_started_ms,
+            started_ms: self.instance_started_ms,
             sequence: self.beacon_sequence,
             revision: self.known_revision(),
-            is_leaving: self.leave_started_ms.is_some(),
+            is_leaving: self.shutdown_started_ms.is_some(),
             shares: Vec::new(),
             queues: Vec::new(),
             services: Vec::new(),
         }
     }
 
-    fn region_beacon(&mut self) -> Beacon {
+    fn local_beacon(&mut self) -> Beacon {
         let mut beacon = self.new_beacon();
         beacon.shares = self
             .fleet
@@ -287,7 +287,7 @@
         queues.filter(|queue| queue.work_ms > 0).collect()
     }
 
-    fn away_beacon(&mut self, now_ms: u64) -> Beacon {
+    fn remote_beacon(&mut self, now_ms: u64) -> Beacon {
         let mut beacon = self.new_beacon();
         let Some(configuration) = self.configuration.clone() else {
             return beacon;
@@ -338,14 +338,14 @@
 
     /// Takes over what the other hosts of the region have at the endpoints.
     pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
-        if now_ms < self.next_share_update_ms {
+        if now_ms < self.next_peer_load_update_ms {
             return;
         }
-        let interval_ms = match std::mem::take(&mut self.has_new_shares) {
+        let interval_ms = match std::mem::take(&mut self.has_new_peer_loads) {
             true => SHARE_UPDATE_MS,
             false => IDLE_SHARE_UPDATE_MS,
         };
-        self.next_share_update_ms = now_ms + interval_ms;
+        self.next_peer_load_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
         let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
@@ -376,6 +376,6 @@
                 }
             }
         }
-        self.has_new_shares |= is_changed;
+        self.has_new_peer_loads |= is_changed;
     }
 }
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -1,7 +1,7 @@
-//! Counters, latency histograms and the line that ends each request.
+//! Counters, latency histograms and the log line at the end of each request.
 //!
-//! Lines about failed requests are limited to [`FAILURE_LINES_PER_S`] and lines
-//! about answered ones to [`ROUTINE_LINES_PER_S`]; what is left out is counted.
+//! Log lines are limited to [`FAILURE_LINES_PER_S`] for failed requests and to
+//! [`ROUTINE_LINES_PER_S`] for successful ones; omitted lines are counted.
 
 use prometheus_client::{
     encoding::{
@@ -21,15 +21,15 @@
 
 use super::exchange::Exchange;
 
-/// Lines a second about requests that were answered by an endpoint.
+/// Log lines per second for requests that ended with success.
 const ROUTINE_LINES_PER_S: u32 = 10;
-/// Lines a second about all other requests.
+/// Log lines per second for all other requests.
 const FAILURE_LINES_PER_S: u32 = 50;
-/// Upper bounds of the histograms, in seconds: goals and time limits of callers
-/// lie between a tenth of a second and some tens of seconds.
+/// Upper bounds of the histogram buckets. Goals and time limits of callers lie
+/// between a tenth of a second and some tens of seconds.
 const BUCKETS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
-/// How requests ended.
+/// Labels of the request counter.
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct OutcomeLabels {
     outcome: &'static str,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Default)]
-struct LineGate {
+struct LineLimiter {
     second: u64,
     used: u32,
 }
@@ -46,34 +46,34 @@
 pub struct Telemetry {
     registry: Registry,
     requests: Family<OutcomeLabels, Counter>,
-    repeats: Counter,
+    retries: Counter,
     connections: Counter,
-    away: Counter,
+    remote: Counter,
     omitted_lines: Counter,
     dropped_lines: Gauge,
-    log_thread: Option<ErrorCounter>,
+    log_drop_counter: Option<ErrorCounter>,
     first_event_s: Histogram,
     duration_s: Histogram,
-    routine: LineGate,
-    failures: LineGate,
+    routine: LineLimiter,
+    failures: LineLimiter,
 }
 
 impl Telemetry {
-    /// Metrics at zero.
+    /// Returns metrics at zero.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("cardamombridge");
         let telemetry = Self {
             requests: Family::default(),
-            repeats: Counter::default(),
+            retries: Counter::default(),
             connections: Counter::default(),
-            away: Counter::default(),
+            remote: Counter::default(),
             omitted_lines: Counter::default(),
             dropped_lines: Gauge::default(),
-            log_thread: None,
+            log_drop_counter: None,
             first_event_s: Histogram::new(BUCKETS_S),
             duration_s: Histogram::new(BUCKETS_S),
-            routine: LineGate::default(),
-            failures: LineGate::default(),
+            routine: LineLimiter::default(),
+            failures: LineLimiter::default(),
             registry: Registry::default(),
         };
         registry.register(
@@ -84,7 +84,7 @@
         registry.register(
             "repeats",
             "Requests sent to a second endpoint",
-            telemetry.repeats.clone(),
+            telemetry.retries.clone(),
         );
         registry.register(
             "endpoint_connections",
@@ -94,7 +94,7 @@
         registry.register(
             "away",
             "Requests sent to another region",
-            telemetry.away.clone(),
+            telemetry.remote.clone(),
         );
         registry.register(
             "omitted_log_lines",
@@ -122,30 +122,30 @@
         }
     }
 
-    /// Reports the lines that the log thread drops.
-    pub fn with_log_thread(mut self, counter: ErrorCounter) -> Self {
-        self.log_thread = Some(counter);
+    /// Sets the counter of lines that the log thread drops, for a metric.
+    pub fn with_log_drop_counter(mut self, counter: ErrorCounter) -> Self {
+        self.log_drop_counter = Some(counter);
         self
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let dropped = self
-            .log_thread
+            .log_drop_counter
             .as_ref()
             .map_or(0, ErrorCounter::dropped_lines);
         self.dropped_lines
             .set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            tracing::warn!(%error, "could not encode the metrics");
+            tracing::warn!(%error, "could not encode the metrics; the scrape is incomplete");
         }
         text
     }
 
     /// Counts a request that is sent to a second endpoint.
-    pub fn count_repeat(&self) {
-        self.repeats.inc();
+    pub fn count_retry(&self) {
+        self.retries.inc();
     }
 
     /// Counts a connection to an endpoint or a host.
@@ -154,16 +154,16 @@
     }
 
     /// Counts a request that is sent to another region.
-    pub fn count_away(&self) {
-        self.away.inc();
+    pub fn count_remote(&self) {
+        self.remote.inc();
     }
 
-    /// Records the time until the first event or the answer.
+    /// Records the time until the first event or the response.
     pub fn observe_first_event(&self, after_ms: u64) {
         self.first_event_s.observe(after_ms as f64 / 1_000.0);
     }
 
-    /// Records the end of a request and writes its line.
+    /// Records the end of a request and writes its log line, within the limits.
     pub fn request_ended(
         &mut self,
         exchange: &Exchange,
@@ -180,42 +180,42 @@
             .inc();
         self.duration_s.observe(total_ms as f64 / 1_000.0);
         let is_routine = (200..300).contains(&status);
-        let gate = match is_routine {
+        let is_within_limit = match is_routine {
             true => self.routine.admit(ROUTINE_LINES_PER_S, now_ms),
             false => self.failures.admit(FAILURE_LINES_PER_S, now_ms),
         };
-        if !gate {
+        if !is_within_limit {
             self.omitted_lines.inc();
             return;
         }
         tracing::info!(
-            request = %exchange.request.call.attempt,
-            route = %exchange.plan.route,
-            service = %exchange.plan.service,
+            request = %exchange.request.metadata.attempt_id,
+            route = %exchange.route.name,
+            service = %exchange.route.service,
             configuration = exchange.configuration_version,
             is_forwarded = exchange.is_forwarded,
             runs = exchange.run_count,
-            tried = ?exchange.excluded,
-            events = exchange.events.whole_count(),
-            prompt_tokens = exchange.request.call.prompt.0,
-            shared_tokens = exchange.request.call.shared_tokens(),
-            shared_part = exchange.request.call.affinity(),
-            goal_ms = exchange.plan.goal_ms,
-            destination = exchange.placed.as_ref().map(|placed| placed.destination.as_str()),
+            tried = ?exchange.excluded_endpoints,
+            events = exchange.events.complete_count(),
+            prompt_tokens = exchange.request.metadata.prompt_tokens.0,
+            shared_tokens = exchange.request.metadata.shared_tokens(),
+            shared_part = exchange.request.metadata.affinity_key(),
+            goal_ms = exchange.route.goal_ms,
+            destination = exchange.placement.as_ref().map(|placement| placement.destination.as_str()),
             waited_ms = exchange
-                .placed
+                .placement
                 .as_ref()
-                .map(|placed| placed.sent_ms.saturating_sub(exchange.arrived_ms)),
-            predicted_ms = exchange.placed.as_ref().map(|placed| placed.predicted_ms),
-            backlog_ms = exchange.placed.as_ref().map(|placed| placed.backlog_ms),
-            uncached_tokens = exchange.placed.as_ref().map(|placed| placed.uncached_tokens),
+                .map(|placement| placement.sent_ms.saturating_sub(exchange.arrived_ms)),
+            predicted_ms = exchange.placement.as_ref().map(|placement| placement.predicted_ms),
+            backlog_ms = exchange.placement.as_ref().map(|placement| placement.backlog_ms),
+            uncached_tokens = exchange.placement.as_ref().map(|placement| placement.uncached_tokens),
             first_event_ms = exchange
                 .first_event_at_ms
                 .map(|at_ms| at_ms.saturating_sub(exchange.arrived_ms)),
-            here_ms = exchange.refused.and_then(|refused| refused.here_ms),
-            queue_ms = exchange.refused.map(|refused| refused.queue_ms),
-            away_ms = exchange.refused.and_then(|refused| refused.away_ms),
-            retry_ms = exchange.refused.map(|refused| refused.retry_ms),
+            here_ms = exchange.refusal.and_then(|refusal| refusal.local_ms),
+            queue_ms = exchange.refusal.map(|refusal| refusal.queue_ms),
+            away_ms = exchange.refusal.and_then(|refusal| refusal.remote_ms),
+            retry_ms = exchange.refusal.map(|refusal| refusal.retry_ms),
             total_ms,
             outcome,
             status,
@@ -230,7 +230,7 @@
     }
 }
 
-impl LineGate {
+impl LineLimiter {
     fn admit(&mut self, per_second: u32, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if second != self.second {
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,8 +1,8 @@
-//! Exchanges that this host starts with others, over pooled connections.
+//! Client for requests to other hosts, over pooled connections.
 //!
-//! Connecting and the handshake come before an exchange, so that a failure
-//! there provably sends nothing of the request. A connection goes back to the
-//! pool only after the final frame of its exchange.
+//! The connection and its handshake are complete before a request is sent, so if
+//! they fail, certainly nothing of the request was sent. A connection returns to
+//! the pool only after the final frame of its exchange.
 
 use std::{
     collections::HashMap,
@@ -36,7 +36,7 @@
     frame::{
         Frame,
         MAX_BODY_BYTES,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     link::{
@@ -56,62 +56,63 @@
     types::HostId, //
 };
 
-/// Most connections to one host, in use or idle.
+/// Maximum number of connections to one host in use, and of idle ones in its pool.
 pub const MAX_CONNECTIONS_PER_HOST: usize = 64;
-/// Idle connections are closed after this time. The server keeps them longer,
-/// so that it does not close one that is about to be used.
+/// Idle connections are closed after this time. The server's timeout is longer, so
+/// that it does not close a connection that the client is about to use.
 pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for the frame that tells the other host to stop.
+/// Timeout for sending the cancellation frame.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request that could not be sent whole.
+/// Failure to send a complete request.
 #[derive(Debug, Error)]
-pub enum StartError {
-    /// No byte of it was sent.
-    #[error("nothing was sent: {error}")]
+pub enum SendError {
+    /// No byte of the request was sent.
+    #[error("could not send the request, no byte was sent: {error}")]
     NotSent {
-        /// The request may be sent elsewhere.
+        /// Proof that the request may be sent to another host.
         unsent: Unsent,
-        /// Why.
+        /// Cause.
         #[source]
         error: LinkError,
     },
-    /// Part of it may have arrived.
-    #[error("the request was sent in part: {error}")]
-    Sent {
-        /// The request may have run.
+    /// Part of the request may have arrived.
+    #[error("could not send the complete request, part of it was sent: {error}")]
+    PartlySent {
+        /// Marks that the request may have run.
         sent: Sent,
-        /// Why.
+        /// Cause.
         #[source]
         error: LinkError,
     },
 }
 
-/// Why a question to another host has no answer.
+/// Failure of a request to another host.
 #[derive(Debug, Error)]
-pub enum AskError {
-    /// The other host could not be used.
+pub enum PeerRequestError {
+    /// The connection could not be established, or failed while the response was
+    /// read.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The question could not be sent.
+    /// The request could not be sent.
     #[error(transparent)]
-    Start(#[from] StartError),
+    Send(#[from] SendError),
 }
 
-/// A question that another host answers as a whole.
+/// A request whose response is read completely before it is returned.
 #[derive(Debug)]
-pub struct Question<'a> {
-    /// The host.
+pub struct PeerRequest<'a> {
+    /// Host to send the request to.
     pub host: &'a HostId,
     /// Its address for other hosts.
     pub address: SocketAddr,
-    /// The request.
-    pub request: &'a Frame,
+    /// Request frame.
+    pub frame: &'a Frame,
     /// Body of the request.
     pub body: &'a [u8],
-    /// Longest answer that is accepted.
-    pub limit_bytes: usize,
-    /// When the answer is of no use any more.
+    /// Largest accepted payload of the response, over all its frames.
+    pub max_response_bytes: usize,
+    /// Deadline for the complete response.
     pub deadline: Instant,
 }
 
@@ -127,7 +128,8 @@
 }
 
 impl Pools {
-    /// A panic while the lock was held leaves at worst a wrong count.
+    /// Locks the pools. A poisoned lock is used on: a panic while it was held leaves
+    /// at worst a wrong count.
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, HostPool>> {
         self.by_address
             .lock()
@@ -135,7 +137,7 @@
     }
 }
 
-/// Counts one connection in use until it is dropped.
+/// Counts one connection as in use until it is dropped.
 #[derive(Debug)]
 struct Slot {
     pools: Arc<Pools>,
@@ -155,23 +157,23 @@
     }
 }
 
-/// Starts exchanges with other hosts.
+/// Sends requests to other hosts.
 #[derive(Debug, Clone)]
 pub struct PeerClient {
     key: ClusterKey,
-    own: PeerIdentity,
-    source: Option<IpAddr>,
+    identity: PeerIdentity,
+    source_address: Option<IpAddr>,
     max_connections: usize,
     pools: Arc<Pools>,
 }
 
 impl PeerClient {
-    /// No connections yet.
-    pub fn new(key: ClusterKey, own: PeerIdentity) -> Self {
+    /// Creates a client without connections.
+    pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
-            own,
-            source: None,
+            identity,
+            source_address: None,
             max_connections: MAX_CONNECTIONS_PER_HOST,
             pools: Arc::new(Pools {
                 by_address: Mutex::new(HashMap::new()),
@@ -179,60 +181,61 @@
         }
     }
 
-    /// The same with another limit of connections to one host.
+    /// Sets the maximum number of connections to one host in use.
     pub fn with_max_connections(mut self, max_connections: usize) -> Self {
         self.max_connections = max_connections;
         self
     }
 
-    /// The same with connections that come from `source`, for a host with several
-    /// addresses.
-    pub fn with_source(mut self, source: IpAddr) -> Self {
-        self.source = Some(source);
+    /// Sets the local address of connections, for a host with several addresses.
+    pub fn with_source_address(mut self, source_address: IpAddr) -> Self {
+        self.source_address = Some(source_address);
         self
     }
 
-    /// Idle connections to one address.
+    /// Returns the number of idle connections to one address.
     pub fn idle_connections(&self, address: SocketAddr) -> usize {
         self.pools.lock().get(&address).map_or(0, |p| p.idle.len())
     }
 
-    /// Asks a question and reads the whole answer.
+    /// Sends a request and reads its complete response.
     ///
-    /// For questions that may be repeated, or whose asker takes any failure as an
-    /// unknown outcome.
-    pub fn ask(&self, question: &Question<'_>) -> Result<Message, AskError> {
-        let deadline = question.deadline;
-        let ready = self.prepare(Some(question.host), question.address, deadline)?;
-        let mut exchange = ready.start(Unsent::new(), question.request, question.body, deadline)?;
-        Ok(exchange.collect(question.limit_bytes, deadline)?)
+    /// Errors do not say whether the request ran, so it must be one that may be
+    /// repeated, or the caller must treat any failure as an unknown outcome.
+    pub fn request(&self, request: &PeerRequest<'_>) -> Result<Message, PeerRequestError> {
+        let deadline = request.deadline;
+        let ready = self.acquire(Some(request.host), request.address, deadline)?;
+        let mut exchange = ready.send(Unsent::new(), request.frame, request.body, deadline)?;
+        Ok(exchange.collect(request.max_response_bytes, deadline)?)
     }
 
-    /// Gets a live connection without sending any part of a request.
+    /// Takes an idle connection from the pool or opens one, without sending any part
+    /// of a request.
     ///
-    /// With `host`, a connection to any other host is refused.
-    pub fn prepare(
+    /// Fails if `host` is given and another host answers at `address`, if all
+    /// connections are in use, or if connecting or the handshake fails.
+    pub fn acquire(
         &self,
         host: Option<&HostId>,
         address: SocketAddr,
         deadline: Instant,
-    ) -> Result<Ready, LinkError> {
+    ) -> Result<ReadyConnection, LinkError> {
         let slot = self.take_slot(address)?;
-        while let Some(link) = self.take_idle(address) {
+        while let Some(link) = self.take_idle_link(address) {
             if link.is_idle() && check_host(&link, host).is_ok() {
-                return Ok(Ready { link, slot });
+                return Ok(ReadyConnection { link, slot });
             }
         }
         let deadline = deadline.min(Instant::now() + HANDSHAKE_TIMEOUT);
         let stream = self.connect(address, remaining(deadline)?)?;
-        let link = Link::connect(stream, &self.key, &self.own, deadline)?;
+        let link = Link::connect(stream, &self.key, &self.identity, deadline)?;
         check_host(&link, host)?;
-        Ok(Ready { link, slot })
+        Ok(ReadyConnection { link, slot })
     }
 
     fn connect(&self, address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        if let Some(source) = self.source {
+        if let Some(source) = self.source_address {
             socket.bind(&SocketAddr::new(source, 0).into())?;
         }
         socket.connect_timeout(&address.into(), timeout)?;
@@ -254,8 +257,9 @@
         })
     }
 
-    /// The connection used last, which is the least likely to have been closed.
-    fn take_idle(&self, address: SocketAddr) -> Option<Link> {
+    /// Takes the most recently used idle connection, which is the least likely to
+    /// have been closed.
+    fn take_idle_link(&self, address: SocketAddr) -> Option<Link> {
         let mut pools = self.pools.lock();
         let pool = pools.get_mut(&address)?;
         pool.idle
@@ -263,7 +267,7 @@
         pool.idle.pop().map(|(link, _)| link)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for [`CLIENT_IDLE_TIMEOUT`].
     pub fn close_idle(&self) {
         let mut pools = self.pools.lock();
         for pool in pools.values_mut() {
@@ -285,14 +289,14 @@
     }
 }
 
-/// A live connection on which nothing of a request was sent.
+/// An established connection on which no request is in progress.
 #[derive(Debug)]
-pub struct Ready {
+pub struct ReadyConnection {
     link: Link,
     slot: Slot,
 }
 
-impl Ready {
+impl ReadyConnection {
     /// The host at the other end.
     pub fn peer(&self) -> &PeerIdentity {
         self.link.peer()
@@ -300,33 +304,34 @@
 
     /// Sends a request frame and its body.
     ///
-    /// The body must have the length that the frame announces.
-    pub fn start(
+    /// The body must have the length that the frame states. Errors say whether any
+    /// byte was sent.
+    pub fn send(
         mut self,
         unsent: Unsent,
         request: &Frame,
         body: &[u8],
         deadline: Instant,
-    ) -> Result<Exchange, StartError> {
+    ) -> Result<Exchange, SendError> {
         if let Err(error) = self.check(request, body) {
-            return Err(StartError::NotSent { unsent, error });
+            return Err(SendError::NotSent { unsent, error });
         }
-        self.link.exchange += 1;
+        self.link.exchange_number += 1;
         if let Err(failed) = self.link.write_frame(request, &[], deadline) {
             let error = failed.error;
             return Err(match failed.written {
-                0 => StartError::NotSent { unsent, error },
-                _ => StartError::Sent {
+                0 => SendError::NotSent { unsent, error },
+                _ => SendError::PartlySent {
                     sent: unsent.mark_sent(),
                     error,
                 },
             });
         }
         let sent = unsent.mark_sent();
-        for piece in body.chunks(MAX_PIECE_BYTES) {
-            if let Err(failed) = self.link.write_frame(&Frame::Body, piece, deadline) {
+        for piece in body.chunks(MAX_PAYLOAD_BYTES) {
+            if let Err(failed) = self.link.write_frame(&Frame::RequestBody, piece, deadline) {
                 let error = failed.error;
-                return Err(StartError::Sent { sent, error });
+                return Err(SendError::PartlySent { sent, error });
             }
         }
         Ok(Exchange {
@@ -338,13 +343,13 @@
 
     fn check(&self, request: &Frame, body: &[u8]) -> Result<(), LinkError> {
         if !request.is_request() {
+            return Err(LinkError::Unexpected("the frame is not a request"));
+        }
+        if request.body_bytes().0 != body.len() as u64 {
             return Err(LinkError::Unexpected(
-                "the frame does not start an exchange",
+                "the body does not have the length that the request states",
             ));
         }
-        if request.body().0 != body.len() as u64 {
-            return Err(LinkError::Unexpected("the body has another length"));
-        }
         if body.len() > MAX_BODY_BYTES {
             return Err(LinkError::TooLong {
                 bytes: body.len(),
@@ -358,10 +363,10 @@
     }
 }
 
-/// A request that was sent and whose answer is being read.
+/// A sent request whose response is being read.
 ///
-/// Dropping it before its final frame closes the connection, which the other
-/// host takes as a cancellation.
+/// Dropping it before the final frame closes the connection, which the other host
+/// treats as a cancellation.
 #[derive(Debug)]
 pub struct Exchange {
     link: Option<Link>,
@@ -370,9 +375,9 @@
 }
 
 impl Exchange {
-    /// Reads the next answer frame; after a final one the connection returns to
+    /// Reads the next response frame; after the final one the connection returns to
     /// the pool. A read that timed out may be repeated, other errors are final.
-    pub fn next(&mut self, deadline: Instant) -> Result<Message, LinkError> {
+    pub fn next_message(&mut self, deadline: Instant) -> Result<Message, LinkError> {
         let link = self.link.as_mut().ok_or(LinkError::Closed)?;
         let message = match link.read_frame(deadline) {
             Err(LinkError::TimedOut) => return Err(LinkError::TimedOut),
@@ -382,56 +387,59 @@
             }
             Ok(message) => message,
         };
-        let is_answer = matches!(message.frame, Frame::Head { .. } | Frame::Piece);
+        let is_partial_response = matches!(
+            message.frame,
+            Frame::ResponseHead { .. } | Frame::ResponseBody
+        );
         if message.frame.is_final() {
-            self.return_link();
-        } else if !is_answer {
+            self.return_to_pool();
+        } else if !is_partial_response {
             self.link = None;
-            return Err(LinkError::Unexpected("the frame is not part of an answer"));
+            return Err(LinkError::Unexpected("the frame is not part of a response"));
         }
         Ok(message)
     }
 
-    /// Reads until the final frame and joins the bytes beside the frames, up to
-    /// `limit_bytes`.
+    /// Reads until the final frame and concatenates the payloads.
+    ///
+    /// Fails if they exceed `limit_bytes`.
     pub fn collect(&mut self, limit_bytes: usize, deadline: Instant) -> Result<Message, LinkError> {
-        let mut bytes = Vec::new();
+        let mut payload = Vec::new();
         loop {
-            let message = self.next(deadline)?;
-            bytes.extend_from_slice(&message.bytes);
-            if bytes.len() > limit_bytes {
+            let message = self.next_message(deadline)?;
+            payload.extend_from_slice(&message.payload);
+            if payload.len() > limit_bytes {
                 self.link = None;
                 return Err(LinkError::TooLong {
-                    bytes: bytes.len(),
+                    bytes: payload.len(),
                     limit_bytes,
                 });
             }
             if message.frame.is_final() {
                 let frame = message.frame;
-                return Ok(Message { frame, bytes });
+                return Ok(Message { frame, payload });
             }
         }
     }
 
-    /// Tells the other host to stop and closes the connection.
+    /// Sends a cancellation and closes the connection.
     pub fn cancel(mut self) -> Sent {
         if let Some(mut link) = self.link.take() {
             let deadline = Instant::now() + CANCEL_TIMEOUT;
             if let Err(error) = link.write_frame(&Frame::Cancel, &[], deadline) {
-                tracing::debug!(%error, "could not send a cancellation");
+                tracing::debug!(%error, "could not send a cancellation; closing the connection");
             }
             let _ = link.stream().shutdown(Shutdown::Both);
         }
         self.sent
     }
 
-    /// Ends the use of the exchange; closes the connection unless its final
-    /// frame was read.
+    /// Ends the exchange; closes the connection unless the final frame was read.
     pub fn finish(self) -> Sent {
         self.sent
     }
 
-    fn return_link(&mut self) {
+    fn return_to_pool(&mut self) {
         let Some(link) = self.link.take() else {
             return;
         };
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,12 +1,12 @@
 //! One authenticated TCP connection between two hosts.
 //!
-//! Both sides send a random nonce and prove that they hold the cluster key. The
-//! session key covers both nonces, hosts and incarnations. Each frame carries a
-//! tag over its direction, its number in that direction and its content, so
-//! that frames cannot be forged, repeated, reordered or moved between
-//! connections.
+//! In the handshake, both sides send a random nonce and prove that they hold the
+//! cluster key. The session key is derived from both nonces, hosts and
+//! incarnations. Each frame carries a tag over its direction, its number in that
+//! direction and its content, so that frames cannot be forged, replayed, reordered
+//! or moved between connections.
 //!
-//! A frame is a 4-byte length, the `postcard` envelope, the bytes beside it and
+//! A frame on the wire is a 4-byte length, the `postcard` envelope, the payload and
 //! the tag. A read that times out can be repeated without loss.
 
 use std::{
@@ -31,7 +31,7 @@
 use super::{
     frame::{
         Frame,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     wire::{
@@ -47,17 +47,17 @@
 
 /// Version of the frame format.
 pub const LINK_VERSION: u8 = 1;
-/// Time for the handshake, including the connection.
+/// Timeout for connecting and the handshake together.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Room for an envelope next to a full piece: a forwarded head with 4,096
-/// prefix hashes and 16 KiB of header fields fits.
+/// Largest envelope beside a payload of maximum size. The head of a forwarded
+/// request with 4,096 prefix hashes and 16 KiB of header fields fits.
 const MAX_ENVELOPE_BYTES: usize = 64 * 1024;
-const MAX_FRAME_BYTES: usize = MAX_PIECE_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
+const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + MAX_ENVELOPE_BYTES + TAG_BYTES;
 const MAX_HANDSHAKE_BYTES: usize = 512;
 const LENGTH_BYTES: usize = 4;
-const READ_BYTES: usize = 16 * 1024;
-/// The kernel rejects a timeout of zero.
-const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Shortest socket timeout; the standard library rejects a timeout of zero.
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why an exchange with another host failed.
 #[derive(Debug, Error)]
@@ -71,8 +71,8 @@
     /// The other host closed the connection.
     #[error("connection closed by the other host")]
     Closed,
-    /// A frame is longer than accepted.
-    #[error("frame of {bytes} bytes is too long: expected at most {limit_bytes}")]
+    /// A frame, request body or response is longer than accepted.
+    #[error("message of {bytes} bytes is too long: expected at most {limit_bytes}")]
     TooLong {
         /// Its length.
         bytes: usize,
@@ -85,33 +85,33 @@
     /// The bytes are authentic but not a valid frame.
     #[error("frame is malformed")]
     Malformed,
-    /// The other host speaks another version.
+    /// The other host uses another version of the frame format.
     #[error("link version {version} is not supported: expected {LINK_VERSION}")]
     BadVersion {
         /// Its version.
         version: u8,
     },
-    /// The other host does not hold the same cluster key.
-    #[error("the other host does not prove that it holds the cluster key")]
+    /// The other host uses another cluster key.
+    #[error("the other host did not prove that it holds the cluster key")]
     WrongKey,
     /// Another host answers at the address.
     #[error("host {found} answers: expected host {expected}")]
     WrongHost {
-        /// The host that was meant.
+        /// The host that should be at the address.
         expected: HostId,
         /// The host that answers.
         found: HostId,
     },
-    /// A frame belongs to another exchange.
+    /// A frame belongs to another exchange than the current one.
     #[error("frame belongs to exchange {found}: expected exchange {expected}")]
     WrongExchange {
         /// Number of the current exchange.
         expected: u64,
-        /// Number in the frame.
+        /// Number that the frame carries.
         found: u64,
     },
-    /// The frame has no place at this point of an exchange.
-    #[error("frame is not expected at this point: {0}")]
+    /// A frame violates the protocol, or the request cannot be served.
+    #[error("exchange failed: {0}")]
     Unexpected(&'static str),
     /// All connections to the host are in use.
     #[error("all {limit} connections to the host are in use")]
@@ -133,23 +133,23 @@
     }
 }
 
-/// A frame that could not be written whole.
+/// Failure to write a complete frame.
 #[derive(Debug, Error)]
 #[error("could not write the frame after {written} bytes: {error}")]
 pub struct WriteError {
-    /// Bytes that the kernel took.
+    /// Bytes that the kernel accepted.
     pub written: usize,
-    /// Why the rest was not written.
+    /// Why the remaining bytes were not written.
     #[source]
     pub error: LinkError,
 }
 
-/// A host and its current run.
+/// A host and its current incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerIdentity {
     /// The host.
     pub host: HostId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -173,7 +173,7 @@
 }
 
 impl Side {
-    /// Marks the direction of frames that this side writes.
+    /// Label of the direction in which this side writes, for authentication tags.
     fn direction(self) -> &'static [u8] {
         match self {
             Self::Client => b"c",
@@ -206,17 +206,17 @@
 pub struct Link {
     stream: TcpStream,
     buffer: Vec<u8>,
-    session: ClusterKey,
+    session_key: ClusterKey,
     side: Side,
     peer: PeerIdentity,
     frames_written: u64,
     frames_read: u64,
-    /// Number of the latest exchange; the client counts from 1.
-    pub(super) exchange: u64,
+    /// Number of the newest exchange; the first one has number 1.
+    pub(super) exchange_number: u64,
 }
 
 impl Link {
-    /// Proves both sides to each other as the connecting side.
+    /// Performs the handshake as the client, which authenticates both sides.
     pub fn connect(
         stream: TcpStream,
         key: &ClusterKey,
@@ -225,21 +225,27 @@
     ) -> Result<Self, LinkError> {
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
-        let client_hello = encode(&hello(own))?;
-        write_plain(&stream, &client_hello, deadline)?;
-        let welcome: Welcome = decode(&read_plain(&stream, &mut buffer, deadline)?)?;
+        let client_hello = encode(&new_hello(own))?;
+        write_unauthenticated(&stream, &client_hello, deadline)?;
+        let welcome: Welcome = decode(&read_unauthenticated(&stream, &mut buffer, deadline)?)?;
         check_version(&welcome.hello)?;
         let server_hello = encode(&welcome.hello)?;
         let keys = HandshakeKeys::new(key, &client_hello, &server_hello);
-        if !keys.server.is_valid_tag(&[], &welcome.proof) {
+        if !keys.server_proof_key.is_valid_tag(&[], &welcome.proof) {
             return Err(LinkError::WrongKey);
         }
-        write_plain(&stream, &keys.client.tag(&[]), deadline)?;
+        write_unauthenticated(&stream, &keys.client_proof_key.tag(&[]), deadline)?;
         let peer = welcome.hello.identity;
-        Ok(Self::new(stream, buffer, keys.session, Side::Client, peer))
+        Ok(Self::new(
+            stream,
+            buffer,
+            keys.session_key,
+            Side::Client,
+            peer,
+        ))
     }
 
-    /// Proves both sides to each other as the accepting side.
+    /// Performs the handshake as the server, which authenticates both sides.
     pub fn accept(
         stream: TcpStream,
         key: &ClusterKey,
@@ -248,37 +254,43 @@
     ) -> Result<Self, LinkError> {
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
-        let client_hello = read_plain(&stream, &mut buffer, deadline)?;
+        let client_hello = read_unauthenticated(&stream, &mut buffer, deadline)?;
         let client: Hello = decode(&client_hello)?;
         check_version(&client)?;
-        let hello = hello(own);
+        let hello = new_hello(own);
         let keys = HandshakeKeys::new(key, &client_hello, &encode(&hello)?);
-        let proof = keys.server.tag(&[]);
-        write_plain(&stream, &encode(&Welcome { hello, proof })?, deadline)?;
-        let proof = read_plain(&stream, &mut buffer, deadline)?;
-        if !keys.client.is_valid_tag(&[], &proof) {
+        let proof = keys.server_proof_key.tag(&[]);
+        write_unauthenticated(&stream, &encode(&Welcome { hello, proof })?, deadline)?;
+        let proof = read_unauthenticated(&stream, &mut buffer, deadline)?;
+        if !keys.client_proof_key.is_valid_tag(&[], &proof) {
             return Err(LinkError::WrongKey);
         }
         let peer = client.identity;
-        Ok(Self::new(stream, buffer, keys.session, Side::Server, peer))
+        Ok(Self::new(
+            stream,
+            buffer,
+            keys.session_key,
+            Side::Server,
+            peer,
+        ))
     }
 
     fn new(
         stream: TcpStream,
         buffer: Vec<u8>,
-        session: ClusterKey,
+        session_key: ClusterKey,
         side: Side,
         peer: PeerIdentity,
     ) -> Self {
         Self {
             stream,
             buffer,
-            session,
+            session_key,
             side,
             peer,
             frames_written: 0,
             frames_read: 0,
-            exchange: 0,
+            exchange_number: 0,
         }
     }
 
@@ -287,7 +299,7 @@
         &self.peer
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
@@ -299,7 +311,7 @@
         bytes: &[u8],
         deadline: Instant,
     ) -> Result<(), WriteError> {
-        self.write_exchange_frame(self.exchange, frame, bytes, deadline)
+        self.write_exchange_frame(self.exchange_number, frame, bytes, deadline)
     }
 
     /// Writes one frame of any exchange.
@@ -331,7 +343,9 @@
         encoded.extend_from_slice(bytes);
         let content = &encoded[LENGTH_BYTES..];
         let number = self.frames_written.to_be_bytes();
-        let tag = self.session.tag(&[self.side.direction(), &number, content]);
+        let tag = self
+            .session_key
+            .tag(&[self.side.direction(), &number, content]);
         encoded.extend_from_slice(&tag);
         let length = encoded.len() - LENGTH_BYTES;
         if length > MAX_FRAME_BYTES {
@@ -347,9 +361,9 @@
     /// Reads one frame of the current exchange.
     pub fn read_frame(&mut self, deadline: Instant) -> Result<Message, LinkError> {
         let (exchange, message) = self.read_exchange_frame(deadline)?;
-        if exchange != self.exchange {
+        if exchange != self.exchange_number {
             return Err(LinkError::WrongExchange {
-                expected: self.exchange,
+                expected: self.exchange_number,
                 found: exchange,
             });
         }
@@ -360,20 +374,20 @@
     pub fn read_exchange_frame(&mut self, deadline: Instant) -> Result<(u64, Message), LinkError> {
         loop {
             if let Some(content) = take_frame(&mut self.buffer, MAX_FRAME_BYTES)? {
-                return self.open_frame(&content);
+                return self.decode_frame(&content);
             }
-            fill(&self.stream, &mut self.buffer, deadline)?;
+            read_more(&self.stream, &mut self.buffer, deadline)?;
         }
     }
 
-    fn open_frame(&mut self, content: &[u8]) -> Result<(u64, Message), LinkError> {
+    fn decode_frame(&mut self, content: &[u8]) -> Result<(u64, Message), LinkError> {
         let (content, tag) = content
             .split_last_chunk::<TAG_BYTES>()
             .ok_or(LinkError::Malformed)?;
         let number = self.frames_read.to_be_bytes();
         let direction = self.side.other().direction();
         if !self
-            .session
+            .session_key
             .is_valid_tag(&[direction, &number, content], tag)
         {
             return Err(LinkError::BadTag);
@@ -383,7 +397,7 @@
             postcard::take_from_bytes::<Envelope>(content).map_err(|_| LinkError::Malformed)?;
         let message = Message {
             frame: envelope.frame,
-            bytes: bytes.to_vec(),
+            payload: bytes.to_vec(),
         };
         Ok((envelope.exchange, message))
     }
@@ -393,7 +407,8 @@
         !self.buffer.is_empty()
     }
 
-    /// Whether the other side is silent and has not closed the connection.
+    /// Whether the connection is open and no bytes from the other side wait to be
+    /// read.
     pub fn is_idle(&self) -> bool {
         if !self.buffer.is_empty() || self.stream.set_nonblocking(true).is_err() {
             return false;
@@ -404,25 +419,25 @@
     }
 }
 
-/// Keys of one handshake, bound to both hellos.
+/// Keys of one connection, derived from the hello messages of both sides.
 struct HandshakeKeys {
-    client: ClusterKey,
-    server: ClusterKey,
-    session: ClusterKey,
+    client_proof_key: ClusterKey,
+    server_proof_key: ClusterKey,
+    session_key: ClusterKey,
 }
 
 impl HandshakeKeys {
     fn new(key: &ClusterKey, client_hello: &[u8], server_hello: &[u8]) -> Self {
         let derive = |purpose| key.derive(purpose, &[client_hello, server_hello]);
         Self {
-            client: derive("cardamombridge link client proof"),
-            server: derive("cardamombridge link server proof"),
-            session: derive("cardamombridge link session"),
+            client_proof_key: derive("cardamombridge link client proof"),
+            server_proof_key: derive("cardamombridge link server proof"),
+            session_key: derive("cardamombridge link session"),
         }
     }
 }
 
-fn hello(own: &PeerIdentity) -> Hello {
+fn new_hello(own: &PeerIdentity) -> Hello {
     Hello {
         version: LINK_VERSION,
         identity: own.clone(),
@@ -456,13 +471,17 @@
     }
 }
 
-fn write_plain(stream: &TcpStream, content: &[u8], deadline: Instant) -> Result<(), LinkError> {
+fn write_unauthenticated(
+    stream: &TcpStream,
+    content: &[u8],
+    deadline: Instant,
+) -> Result<(), LinkError> {
     let mut bytes = (content.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(content);
     write_all(stream, &bytes, deadline).map_err(|failed| failed.error)
 }
 
-fn read_plain(
+fn read_unauthenticated(
     stream: &TcpStream,
     buffer: &mut Vec<u8>,
     deadline: Instant,
@@ -471,11 +490,12 @@
         if let Some(content) = take_frame(buffer, MAX_HANDSHAKE_BYTES)? {
             return Ok(content);
         }
-        fill(stream, buffer, deadline)?;
+        read_more(stream, buffer, deadline)?;
     }
 }
 
-/// Removes one whole frame from the front of `buffer`, without its length.
+/// Removes one complete frame from the front of `buffer`; returns it without its
+/// length prefix.
 fn take_frame(buffer: &mut Vec<u8>, limit_bytes: usize) -> Result<Option<Vec<u8>>, LinkError> {
     let Some(length) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -493,10 +513,14 @@
     Ok(Some(frame))
 }
 
-fn fill(mut stream: &TcpStream, buffer: &mut Vec<u8>, deadline: Instant) -> Result<(), LinkError> {
+fn read_more(
+    mut stream: &TcpStream,
+    buffer: &mut Vec<u8>,
+    deadline: Instant,
+) -> Result<(), LinkError> {
     stream.set_read_timeout(Some(remaining(deadline)?))?;
     let old_length = buffer.len();
-    buffer.resize(old_length + READ_BYTES, 0);
+    buffer.resize(old_length + READ_CHUNK_BYTES, 0);
     let result = stream.read(&mut buffer[old_length..]);
     buffer.truncate(old_length + result.as_ref().copied().unwrap_or(0));
     match result {
@@ -527,11 +551,11 @@
     Ok(())
 }
 
-/// Time left until `deadline`.
+/// Returns the time left until `deadline`, or [`LinkError::TimedOut`] if it passed.
 pub(super) fn remaining(deadline: Instant) -> Result<Duration, LinkError> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
         return Err(LinkError::TimedOut);
     }
-    Ok(left.max(MIN_TIMEOUT))
+    Ok(left.max(MIN_SOCKET_TIMEOUT))
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,8 +1,8 @@
-//! Exchanges that other hosts start with this one.
+//! Server for requests of other hosts.
 //!
 //! Each connection has a thread that reads one request after the other and
-//! calls the handler with the exchange. The connection is used again only after
-//! the handler has read the whole body and sent the final frame.
+//! calls the handler with the exchange. The connection is reused only after the
+//! handler has read the complete body and sent the final frame.
 
 use std::{
     collections::HashMap,
@@ -35,7 +35,7 @@
     frame::{
         Frame,
         MAX_BODY_BYTES,
-        MAX_PIECE_BYTES,
+        MAX_PAYLOAD_BYTES,
         Message, //
     },
     link::{
@@ -48,18 +48,19 @@
 };
 use crate::types::HostId;
 
-/// Connections without a request are closed after this time.
+/// Idle connections are closed after this time.
 pub const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for the rest of a request frame once its first byte is there.
+/// Timeout for the rest of a request frame after its first byte, and for the
+/// response to a ping.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a waiting connection looks at the stop signal.
-const STOP_INTERVAL: Duration = Duration::from_millis(200);
-/// Most connections from all hosts.
+/// Interval at which idle connections check whether the server is stopping.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of connections from all hosts together.
 const MAX_CONNECTIONS: usize = 1_024;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const CONNECTION_STACK_BYTES: usize = 512 * 1024;
 
-/// How many connections and exchanges there were.
+/// Numbers of connections and exchanges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServerCounts {
     /// Connections that are open now.
@@ -70,7 +71,7 @@
     pub failed_handshakes: u64,
     /// Exchanges that ended with a final frame.
     pub completed_exchanges: u64,
-    /// Connections that were closed because of an error or inside an exchange.
+    /// Connections that were closed because of an error or during an exchange.
     pub broken_connections: u64,
 }
 
@@ -83,7 +84,7 @@
     broken_connections: AtomicU64,
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
@@ -91,33 +92,33 @@
 #[derive(Debug)]
 pub struct PeerServer {
     key: ClusterKey,
-    own: PeerIdentity,
-    max_per_host: usize,
+    identity: PeerIdentity,
+    max_connections_per_host: usize,
     is_stopping: AtomicBool,
-    by_host: Mutex<HashMap<HostId, usize>>,
+    connections_by_host: Mutex<HashMap<HostId, usize>>,
     counters: Counters,
 }
 
 impl PeerServer {
-    /// Not serving yet.
-    pub fn new(key: ClusterKey, own: PeerIdentity) -> Self {
+    /// Creates a server; [`PeerServer::run`] starts serving.
+    pub fn new(key: ClusterKey, identity: PeerIdentity) -> Self {
         Self {
             key,
-            own,
-            max_per_host: MAX_CONNECTIONS_PER_HOST,
+            identity,
+            max_connections_per_host: MAX_CONNECTIONS_PER_HOST,
             is_stopping: AtomicBool::new(false),
-            by_host: Mutex::new(HashMap::new()),
+            connections_by_host: Mutex::new(HashMap::new()),
             counters: Counters::default(),
         }
     }
 
-    /// The same with another limit of connections from one host.
-    pub fn with_max_per_host(mut self, max_per_host: usize) -> Self {
-        self.max_per_host = max_per_host;
+    /// Sets the maximum number of connections from one host.
+    pub fn with_max_connections_per_host(mut self, max_connections_per_host: usize) -> Self {
+        self.max_connections_per_host = max_connections_per_host;
         self
     }
 
-    /// Totals so far.
+    /// Returns the totals so far.
     pub fn counts(&self) -> ServerCounts {
         let counters = &self.counters;
         ServerCounts {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Accepts connections until stopped; `handler` runs on the connection's
-    /// thread and must end each exchange with a final frame.
+    /// Accepts connections until [`PeerServer::stop`] is called. `handler` runs on
+    /// the connection's thread and must end each exchange with a final frame.
     pub fn run<H>(self: &Arc<Self>, listener: &TcpListener, handler: H)
     where
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError> + Send + Sync + 'static,
@@ -138,32 +139,36 @@
         let handler = Arc::new(handler);
         while !self.is_stopping.load(Ordering::Acquire) {
             match listener.accept() {
-                Ok((stream, address)) => self.start(stream, address, &handler),
+                Ok((stream, address)) => self.spawn_connection(stream, address, &handler),
                 Err(error) => {
-                    tracing::warn!(%error, "could not accept a connection of a host");
+                    tracing::warn!(%error, "could not accept a connection from another host; retrying after a short delay");
                     thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Stops accepting on `address`; exchanges in progress go on, waiting
-    /// connections are closed.
+    /// Stops the server that accepts on `address`. Exchanges in progress continue,
+    /// idle connections are closed.
     pub fn stop(&self, address: SocketAddr) {
         self.is_stopping.store(true, Ordering::Release);
-        // The blocking accept returns only for a connection.
-        if let Err(error) = TcpStream::connect_timeout(&address, STOP_INTERVAL) {
-            tracing::debug!(%error, "could not wake the peer acceptor");
+        // A connection of its own unblocks the thread that waits in `accept`.
+        if let Err(error) = TcpStream::connect_timeout(&address, STOP_CHECK_INTERVAL) {
+            tracing::debug!(%error, "could not connect to unblock the peer acceptor; it stops at the next connection");
         }
     }
 
-    fn start<H>(self: &Arc<Self>, stream: TcpStream, address: SocketAddr, handler: &Arc<H>)
-    where
+    fn spawn_connection<H>(
+        self: &Arc<Self>,
+        stream: TcpStream,
+        address: SocketAddr,
+        handler: &Arc<H>,
+    ) where
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError> + Send + Sync + 'static,
     {
         let open = &self.counters.open_connections;
         if open.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
-            count(&self.counters.refused_connections);
+            increment(&self.counters.refused_connections);
             return;
         }
         open.fetch_add(1, Ordering::Relaxed);
@@ -174,7 +179,7 @@
             .stack_size(CONNECTION_STACK_BYTES)
             .spawn(move || slot.0.serve(stream, address, &*handler));
         if let Err(error) = started {
-            tracing::warn!(%error, "could not start a peer connection thread");
+            tracing::warn!(%error, "could not start a thread for a connection from another host; closing the connection");
         }
     }
 
@@ -183,21 +188,21 @@
         H: Fn(&mut ServerExchange<'_>) -> Result<(), LinkError>,
     {
         let deadline = Instant::now() + HANDSHAKE_TIMEOUT;
-        let mut link = match Link::accept(stream, &self.key, &self.own, deadline) {
+        let mut link = match Link::accept(stream, &self.key, &self.identity, deadline) {
             Ok(link) => link,
             Err(error) => {
-                count(&self.counters.failed_handshakes);
-                tracing::debug!(%error, %address, "handshake with a host failed");
+                increment(&self.counters.failed_handshakes);
+                tracing::debug!(%error, %address, "handshake with another host failed; closing the connection");
                 return;
             }
         };
         let Some(_slot) = self.take_host_slot(&link.peer().host) else {
-            count(&self.counters.refused_connections);
+            increment(&self.counters.refused_connections);
             return;
         };
         if let Err(error) = self.serve_link(&mut link, handler) {
-            count(&self.counters.broken_connections);
-            tracing::debug!(%error, host = %link.peer().host, "connection of a host broke");
+            increment(&self.counters.broken_connections);
+            tracing::debug!(%error, host = %link.peer().host, "connection from another host failed; closing it");
         }
     }
 
@@ -208,7 +213,7 @@
         while let Some(request) = self.next_request(link)? {
             check_origin(&request, link.peer())?;
             let mut exchange = ServerExchange {
-                body_left: request.body().0,
+                remaining_body_bytes: request.body_bytes().0,
                 link,
                 request,
                 is_ended: false,
@@ -223,15 +228,16 @@
             if !exchange.is_ended {
                 return Err(LinkError::Unexpected("the exchange has no final frame"));
             }
-            count(&self.counters.completed_exchanges);
-            if exchange.body_left > 0 || exchange.is_cancelled {
+            increment(&self.counters.completed_exchanges);
+            if exchange.remaining_body_bytes > 0 || exchange.is_cancelled {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// The next request, or nothing if the connection ends between requests.
+    /// Returns the next request, or `None` if the connection ends between requests
+    /// or the server is stopping.
     fn next_request(&self, link: &mut Link) -> Result<Option<Frame>, LinkError> {
         let idle_deadline = Instant::now() + SERVER_IDLE_TIMEOUT;
         let mut frame_deadline = None;
@@ -239,7 +245,7 @@
             if self.is_stopping.load(Ordering::Acquire) {
                 return Ok(None);
             }
-            let wait = Instant::now() + STOP_INTERVAL;
+            let wait = Instant::now() + STOP_CHECK_INTERVAL;
             match link.read_exchange_frame(wait) {
                 Ok((exchange, message)) => {
                     return start_exchange(link, exchange, message).map(Some);
@@ -260,15 +266,18 @@
         }
     }
 
-    fn by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
-        // A panic while the lock was held leaves at worst a wrong count.
-        self.by_host.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections_by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
+        // A poisoned lock is used on: a panic while it was held leaves at worst a
+        // wrong count.
+        self.connections_by_host
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn take_host_slot(&self, host: &HostId) -> Option<HostSlot<'_>> {
-        let mut by_host = self.by_host();
-        let open = by_host.entry(host.clone()).or_insert(0);
-        if *open >= self.max_per_host {
+        let mut connections_by_host = self.connections_by_host();
+        let open = connections_by_host.entry(host.clone()).or_insert(0);
+        if *open >= self.max_connections_per_host {
             return None;
         }
         *open += 1;
@@ -280,38 +289,38 @@
 }
 
 fn start_exchange(link: &mut Link, exchange: u64, message: Message) -> Result<Frame, LinkError> {
-    let expected = link.exchange + 1;
+    let expected = link.exchange_number + 1;
     if exchange != expected {
         return Err(LinkError::WrongExchange {
             expected,
             found: exchange,
         });
     }
-    if !message.frame.is_request() || !message.bytes.is_empty() {
-        return Err(LinkError::Unexpected(
-            "the frame does not start an exchange",
-        ));
+    if !message.frame.is_request() || !message.payload.is_empty() {
+        return Err(LinkError::Unexpected("the frame is not a request"));
     }
-    let body_bytes = message.frame.body().0;
+    let body_bytes = message.frame.body_bytes().0;
     if body_bytes > MAX_BODY_BYTES as u64 {
         return Err(LinkError::TooLong {
             bytes: usize::try_from(body_bytes).unwrap_or(usize::MAX),
             limit_bytes: MAX_BODY_BYTES,
         });
     }
-    link.exchange = exchange;
+    link.exchange_number = exchange;
     Ok(message.frame)
 }
 
-/// A host may forward only requests that it accepted itself.
+/// Fails if a host forwards a request that it did not accept itself.
 fn check_origin(request: &Frame, peer: &PeerIdentity) -> Result<(), LinkError> {
     match request.origin_host().filter(|origin| **origin != peer.host) {
         None => Ok(()),
-        Some(_) => Err(LinkError::Unexpected("the origin is not the sender")),
+        Some(_) => Err(LinkError::Unexpected(
+            "the origin host of the request is not the sender",
+        )),
     }
 }
 
-/// Counts one open connection until it is dropped, also after a panic.
+/// Counts one connection as open until it is dropped, also after a panic.
 struct OpenSlot(Arc<PeerServer>);
 
 impl Drop for OpenSlot {
@@ -321,7 +330,7 @@
     }
 }
 
-/// Counts one connection of a host until it is dropped, also after a panic.
+/// Counts one connection of a host as open until it is dropped, also after a panic.
 struct HostSlot<'a> {
     server: &'a PeerServer,
     host: HostId,
@@ -329,11 +338,11 @@
 
 impl Drop for HostSlot<'_> {
     fn drop(&mut self) {
-        let mut by_host = self.server.by_host();
-        if let Some(open) = by_host.get_mut(&self.host) {
+        let mut connections_by_host = self.server.connections_by_host();
+        if let Some(open) = connections_by_host.get_mut(&self.host) {
             *open -= 1;
             if *open == 0 {
-                by_host.remove(&self.host);
+                connections_by_host.remove(&self.host);
             }
         }
     }
@@ -344,7 +353,7 @@
 pub struct ServerExchange<'a> {
     link: &'a mut Link,
     request: Frame,
-    body_left: u64,
+    remaining_body_bytes: u64,
     is_ended: bool,
     is_cancelled: bool,
 }
@@ -360,25 +369,34 @@
         &self.request
     }
 
-    /// Reads the whole body; a request that is refused without it needs no read.
+    /// Reads the complete body.
+    ///
+    /// A handler that refuses the request need not read it; the connection is then
+    /// closed after the exchange.
     pub fn read_body(&mut self, deadline: Instant) -> Result<Vec<u8>, LinkError> {
         let mut body = Vec::new();
-        while self.body_left > 0 {
+        while self.remaining_body_bytes > 0 {
             let message = self.link.read_frame(deadline)?;
             match message.frame {
-                Frame::Body => {}
+                Frame::RequestBody => {}
                 Frame::Cancel => {
                     self.is_cancelled = true;
                     return Err(LinkError::Closed);
                 }
-                _ => return Err(LinkError::Unexpected("a body frame was expected")),
+                _ => {
+                    return Err(LinkError::Unexpected(
+                        "expected a frame of the request body",
+                    ));
+                }
             }
-            let bytes = message.bytes.len() as u64;
-            if bytes == 0 || bytes > self.body_left {
-                return Err(LinkError::Unexpected("the body has another length"));
+            let bytes = message.payload.len() as u64;
+            if bytes == 0 || bytes > self.remaining_body_bytes {
+                return Err(LinkError::Unexpected(
+                    "the body does not have the length that the request states",
+                ));
             }
-            self.body_left -= bytes;
-            body.extend_from_slice(&message.bytes);
+            self.remaining_body_bytes -= bytes;
+            body.extend_from_slice(&message.payload);
         }
         Ok(body)
     }
@@ -387,14 +405,15 @@
     ///
     /// Only meaningful once the body has been read.
     pub fn is_cancelled(&mut self) -> bool {
-        // After its body the other host sends nothing but a cancellation.
-        if !self.is_cancelled && self.body_left == 0 {
+        // After the body, a cancellation is the only frame that the other host may
+        // send.
+        if !self.is_cancelled && self.remaining_body_bytes == 0 {
             self.is_cancelled = !self.link.is_idle();
         }
         self.is_cancelled
     }
 
-    /// Sends an answer frame that is not final.
+    /// Sends a response frame that is not final.
     pub fn send(
         &mut self,
         frame: &Frame,
@@ -402,21 +421,21 @@
         deadline: Instant,
     ) -> Result<(), LinkError> {
         if self.is_ended || frame.is_final() || frame.is_request() {
-            return Err(LinkError::Unexpected("the frame is not part of an answer"));
+            return Err(LinkError::Unexpected("the frame is not part of a response"));
         }
-        self.write_pieces(frame, bytes, deadline)
+        self.write_in_pieces(frame, bytes, deadline)
     }
 
-    fn write_pieces(
+    fn write_in_pieces(
         &mut self,
         frame: &Frame,
         bytes: &[u8],
         deadline: Instant,
     ) -> Result<(), LinkError> {
         let mut rest = bytes;
-        while rest.len() > MAX_PIECE_BYTES {
-            let (piece, later) = rest.split_at(MAX_PIECE_BYTES);
-            self.write(&Frame::Piece, piece, deadline)?;
+        while rest.len() > MAX_PAYLOAD_BYTES {
+            let (piece, later) = rest.split_at(MAX_PAYLOAD_BYTES);
+            self.write(&Frame::ResponseBody, piece, deadline)?;
             rest = later;
         }
         self.write(frame, rest, deadline)
@@ -427,7 +446,8 @@
         written.map_err(|failed| failed.error)
     }
 
-    /// Sends the final frame; long `bytes` go ahead in pieces.
+    /// Sends the final frame. All but the last [`MAX_PAYLOAD_BYTES`] of longer
+    /// `bytes` are sent before it in [`Frame::ResponseBody`] frames.
     pub fn finish(
         &mut self,
         frame: &Frame,
@@ -435,9 +455,11 @@
         deadline: Instant,
     ) -> Result<(), LinkError> {
         if self.is_ended || !frame.is_final() {
-            return Err(LinkError::Unexpected("the frame is not a final one"));
+            return Err(LinkError::Unexpected(
+                "the frame is not final, or the exchange has ended",
+            ));
         }
-        self.write_pieces(frame, bytes, deadline)?;
+        self.write_in_pieces(frame, bytes, deadline)?;
         self.is_ended = true;
         Ok(())
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! HTTP headers and paths of the platform.
+//! HTTP headers and paths that the platform defines.
 
 use std::net::SocketAddr;
 
@@ -11,34 +11,34 @@
             ResponseHead, //
         },
         request::{
-            Call,
             EndpointLoad,
-            PromptPart, //
+            PromptPart,
+            RequestMetadata, //
         }, //
     },
     types::Tokens, //
 };
 
 const ATTEMPT_ID: &str = "x-attempt-id";
-const TIME_LEFT: &str = "x-deadline-ms";
+const DEADLINE: &str = "x-deadline-ms";
 const MODEL: &str = "x-model";
-/// Prompt tokens and the most output tokens, separated by a comma.
+/// Prompt tokens and maximum output tokens, separated by a comma.
 const TOKENS: &str = "x-token-counts";
 const PROMPT_PARTS: &str = "x-prompt-prefix";
 const LAST_EVENT: &str = "last-event-id";
 const EXPECTED_ENDPOINT: &str = "X-Expect-Instance";
-/// Address of an endpoint that has cached parts of the prompt.
+/// Address of an endpoint from which cached parts of the prompt can be copied.
 const FETCH_FROM: &str = "Kv-Fetch";
 const PRIORITY: &str = "X-Request-Priority";
-const SEAL: &str = "x-server-seal";
+const SIGNATURE: &str = "x-server-seal";
 const NOT_RUN: &str = "x-not-run";
-/// Running requests, waiting requests and slots.
+/// Running requests, queued requests and slots, separated by commas.
 const LOAD: &str = "x-server-load";
-const COLD_LEFT: &str = "x-cold-ms";
-/// Lowest rank that an endpoint accepts; 0 is the most urgent.
+const COLD_TIME: &str = "x-cold-ms";
+/// Least urgent priority that endpoints accept; 0 is the most urgent.
 const MAX_PRIORITY: u8 = 9;
 
-/// Headers that only the gateway may set. A caller's own are not passed on.
+/// Headers that only the gateway may set; those of callers are dropped.
 const RESERVED: [&str; 9] = [
     "x-hold",
     "x-pin-ms",
@@ -48,38 +48,38 @@
     "x-expect-instance",
     "x-request-priority",
     "x-expect-version",
-    TIME_LEFT,
+    DEADLINE,
 ];
 
-/// Path on which the platform asks whether a host takes requests.
+/// Path of the platform's readiness check.
 pub const READY_PATH: &str = "/cardamombridge/readyz";
-/// Path on which callers ask which hosts to use.
+/// Path on which callers query the directory for hosts.
 pub const DIRECTORY_PATH: &str = "/cardamombridge/resolve";
 
-/// Reads what the platform's headers say about a request.
-pub fn decode_call(headers: &[Header]) -> Call {
-    let mut call = Call::default();
+/// Decodes the platform's headers of a request; ignores malformed values.
+pub fn decode_request_metadata(headers: &[Header]) -> RequestMetadata {
+    let mut metadata = RequestMetadata::default();
     for header in headers {
         let Some(value) = header.text() else {
             continue;
         };
         if header.is(ATTEMPT_ID) {
-            call.attempt = value.into();
-        } else if header.is(TIME_LEFT) {
-            call.time_limit_ms = value.parse().ok();
+            metadata.attempt_id = value.into();
+        } else if header.is(DEADLINE) {
+            metadata.time_limit_ms = value.parse().ok();
         } else if header.is(MODEL) {
-            call.model = value.into();
+            metadata.model = value.into();
         } else if header.is(TOKENS) {
             let (prompt, output) = value.split_once(',').unwrap_or((value, "0"));
-            call.prompt = Tokens(prompt.trim().parse().unwrap_or(0));
-            call.max_output = Tokens(output.trim().parse().unwrap_or(0));
+            metadata.prompt_tokens = Tokens(prompt.trim().parse().unwrap_or(0));
+            metadata.max_output_tokens = Tokens(output.trim().parse().unwrap_or(0));
         } else if header.is(PROMPT_PARTS) {
-            call.parts = decode_parts(value);
+            metadata.parts = decode_parts(value);
         } else if header.is(LAST_EVENT) {
-            call.last_event = Some(value.into());
+            metadata.last_event_id = Some(value.into());
         }
     }
-    call
+    metadata
 }
 
 fn decode_parts(value: &str) -> Vec<PromptPart> {
@@ -95,94 +95,96 @@
         .collect()
 }
 
-/// Whether a caller's header is passed on to an endpoint.
-pub fn is_passed_on(header: &Header, resumes: bool) -> bool {
-    let reserved = RESERVED.iter().any(|name| header.is(name));
-    let replaced = resumes && header.is(LAST_EVENT);
-    !reserved && !replaced
+/// Returns whether a caller's header is relayed to an endpoint.
+///
+/// With `is_resumed`, the gateway sets the id of the last event itself.
+pub fn is_relayed(header: &Header, is_resumed: bool) -> bool {
+    let is_reserved = RESERVED.iter().any(|name| header.is(name));
+    let is_replaced = is_resumed && header.is(LAST_EVENT);
+    !is_reserved && !is_replaced
 }
 
 /// Headers that the gateway adds to a request for an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHeaders {
-    /// The endpoint that must answer; another one at its address refuses.
+    /// Id of the expected endpoint; another one at the address refuses the request.
     pub endpoint: Option<CompactString>,
-    /// Time until the caller stops waiting.
+    /// Time left until the deadline of the request.
     pub time_left_ms: u64,
-    /// Rank among other requests, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Endpoint from which cached prompt parts are copied first.
+    /// Endpoint from which cached prompt parts are copied before the request runs.
     pub fetch_from: Option<SocketAddr>,
-    /// Event after which a resumed stream goes on.
-    pub last_event: Option<CompactString>,
+    /// Id of the event after which a resumed stream continues.
+    pub last_event_id: Option<CompactString>,
 }
 
 impl EndpointHeaders {
-    /// Appends the headers to the head of a request.
+    /// Appends the headers to a request head in `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let mut line = |name: &str, value: &str| {
+        let mut write_header = |name: &str, value: &str| {
             out.extend_from_slice(name.as_bytes());
             out.extend_from_slice(b": ");
             out.extend_from_slice(value.as_bytes());
             out.extend_from_slice(b"\r\n");
         };
-        line("X-Deadline-Ms", &self.time_left_ms.to_string());
+        write_header("X-Deadline-Ms", &self.time_left_ms.to_string());
         if let Some(endpoint) = &self.endpoint {
-            line(EXPECTED_ENDPOINT, endpoint);
+            write_header(EXPECTED_ENDPOINT, endpoint);
         }
         if let Some(priority) = self.priority {
-            line(PRIORITY, &priority.min(MAX_PRIORITY).to_string());
+            write_header(PRIORITY, &priority.min(MAX_PRIORITY).to_string());
         }
         if let Some(address) = &self.fetch_from {
-            line(FETCH_FROM, &address.to_string());
+            write_header(FETCH_FROM, &address.to_string());
         }
-        if let Some(event) = &self.last_event {
-            line("Last-Event-Id", event);
+        if let Some(event) = &self.last_event_id {
+            write_header("Last-Event-Id", event);
         }
     }
 }
 
-/// What an endpoint says about itself and a request in the head of an answer.
+/// Metadata about an endpoint and a request from a response head.
 #[derive(Debug, Clone, Default)]
-pub struct Verdict {
-    /// The attempt that the answer belongs to, if the answer names one.
-    pub attempt: Option<CompactString>,
-    /// The endpoint signed the answer.
-    pub is_sealed: bool,
-    /// The endpoint says that it has not run the request.
+pub struct ResponseMetadata {
+    /// Id of the attempt that the response belongs to, if stated.
+    pub attempt_id: Option<CompactString>,
+    /// The endpoint signed the response.
+    pub is_signed: bool,
+    /// The endpoint states that it has not run the request.
     pub is_not_run: bool,
-    /// Another endpoint listens at the address than the one that was expected.
+    /// The endpoint at the address is not the expected one.
     pub is_other_endpoint: bool,
-    /// Load at the time of the answer.
+    /// Load at the time of the response.
     pub load: Option<EndpointLoad>,
-    /// How long the endpoint stays cold.
+    /// Time for which the endpoint remains cold.
     pub cold_left_ms: Option<u64>,
 }
 
-/// Reads the platform's headers of an endpoint's answer.
-pub fn decode_verdict(head: &ResponseHead) -> Verdict {
-    let mut verdict = Verdict {
+/// Decodes the platform's headers of a response; ignores malformed values.
+pub fn decode_response_metadata(head: &ResponseHead) -> ResponseMetadata {
+    let mut metadata = ResponseMetadata {
         is_not_run: head.status == 421,
         is_other_endpoint: head.status == 421,
-        ..Verdict::default()
+        ..ResponseMetadata::default()
     };
     for header in &head.headers {
         let Some(value) = header.text() else {
             continue;
         };
         if header.is(ATTEMPT_ID) {
-            verdict.attempt = Some(value.into());
-        } else if header.is(SEAL) {
-            verdict.is_sealed = !value.is_empty();
+            metadata.attempt_id = Some(value.into());
+        } else if header.is(SIGNATURE) {
+            metadata.is_signed = !value.is_empty();
         } else if header.is(NOT_RUN) {
-            verdict.is_not_run = true;
+            metadata.is_not_run = true;
         } else if header.is(LOAD) {
-            verdict.load = decode_load(value);
-        } else if header.is(COLD_LEFT) {
-            verdict.cold_left_ms = value.parse().ok();
+            metadata.load = decode_load(value);
+        } else if header.is(COLD_TIME) {
+            metadata.cold_left_ms = value.parse().ok();
         }
     }
-    verdict
+    metadata
 }
 
 fn decode_load(value: &str) -> Option<EndpointLoad> {
@@ -194,7 +196,7 @@
     })
 }
 
-/// A query to the directory.
+/// Query to the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DirectoryQuery {
     /// Region of the caller.
@@ -203,7 +205,7 @@
     pub data_centre: CompactString,
 }
 
-/// Reads the query string of a directory call.
+/// Decodes the query string of a directory query.
 pub fn decode_directory_query(query: &str) -> DirectoryQuery {
     let mut decoded = DirectoryQuery::default();
     for pair in query.split('&') {
@@ -216,7 +218,7 @@
     decoded
 }
 
-/// Body of a directory answer.
+/// Encodes the JSON body of a directory response.
 pub fn encode_directory_answer(addresses: &[SocketAddr], ttl_s: u32) -> Vec<u8> {
     let body = serde_json::json!({ "addrs": addresses, "ttl_s": ttl_s });
     body.to_string().into_bytes()
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -33,7 +33,7 @@
         Unsent, //
     },
     peer::{
-        client::Question,
+        client::PeerRequest,
         frame::Frame, //
     },
     plain_answer::{
@@ -405,12 +405,12 @@
             }
             TicketRequest::State => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
-                let frame = Frame::TicketState { ticket, caller };
+                let frame = Frame::GetTicketStatus { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
             TicketRequest::Void => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
-                let frame = Frame::TicketVoid { ticket, caller };
+                let frame = Frame::CancelTicket { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
         };
@@ -429,18 +429,18 @@
         body: &[u8],
         deadline: Instant,
     ) -> Option<PlainAnswer> {
-        let question = Question {
+        let request = PeerRequest {
             host: &owner.instance.host,
             address: owner.peer_address,
-            request: frame,
+            frame,
             body,
-            limit_bytes: MAX_RESPONSE_BYTES,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             deadline,
         };
         let response = self
             .relay
             .peers
-            .ask(&question)
+            .request(&request)
             .inspect_err(|error| {
                 tracing::debug!(
                     host = %owner.instance.host,
@@ -452,7 +452,7 @@
         if response.frame != Frame::TicketStatus {
             return None;
         }
-        postcard::from_bytes(&response.bytes).ok()
+        postcard::from_bytes(&response.payload).ok()
     }
 
     /// Stops issuing tickets and starting calls, for a handover to `successor`;
