--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -1,4 +1,5 @@
-//! The owner's table: the only place where a ticket changes its state.
+//! The table in which one host instance keeps its tickets: the only place where
+//! a ticket changes its state.
 
 use std::{
     collections::{
@@ -14,14 +15,14 @@
     STATE_RETENTION_MS,
     call::{
         CallDigest,
-        KeptAnswer, //
+        KeptResponse, //
     },
     handover::{
         HANDOVER_VALID_MS,
-        HandedState,
-        HandedTicket,
         Handover,
         HandoverError,
+        HandoverState,
+        HandoverTicket,
         ImportError,
         Imported, //
     },
@@ -32,13 +33,13 @@
         TicketRefusalReason,
         UNREACHABLE_RETRY_MS, //
     },
-    route::OWNER_SETTLE_MS,
+    route::HANDOVER_SETTLE_MS,
     token::{
-        HostRun,
-        Owner,
+        HostInstance,
         Ticket,
         TicketBody,
         TicketId, //
+        TicketOwner,
     }, //
 };
 use crate::{
@@ -55,18 +56,20 @@
     }, //
 };
 
-/// Bounds of one table.
+/// Limits of one table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TicketLimits {
-    /// How long after its issue a ticket can start.
+    /// How long after its issue the call of a ticket can start.
     pub lifetime_ms: Millis,
-    /// Most tickets in the table, whatever their state.
+    /// Maximum number of tickets in the table, whatever their state.
     pub max_tickets: usize,
-    /// Most tickets of one caller, so that one caller cannot use up the table.
+    /// Maximum number of tickets of one caller, so that one caller cannot fill
+    /// the table.
     pub max_tickets_per_caller: usize,
-    /// Largest answer that is kept.
-    pub max_answer_bytes: Bytes,
-    /// Kept answers and room reserved for calls in progress, in total.
+    /// Maximum size of a response that is kept.
+    pub max_response_bytes: Bytes,
+    /// Maximum total of the kept responses and the room reserved for the
+    /// responses of calls in progress.
     pub max_kept_bytes: Bytes,
 }
 
@@ -76,15 +79,15 @@
             lifetime_ms: Millis(10 * 60 * 1000),
             max_tickets: 16_384,
             max_tickets_per_caller: 4_096,
-            max_answer_bytes: Bytes(64 * 1024),
+            max_response_bytes: Bytes(64 * 1024),
             max_kept_bytes: Bytes(8 * 1024 * 1024),
         }
     }
 }
 
-/// Whom a ticket is issued to and for what.
+/// Who requests a ticket and for what.
 #[derive(Debug, Clone)]
-pub struct IssueFor<'a> {
+pub struct IssueRequest<'a> {
     /// The authenticated caller.
     pub caller: &'a CallerId,
     /// The service that it will call.
@@ -96,31 +99,34 @@
 /// Why no ticket is issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum IssueError {
-    /// The host is leaving; another entry host issues tickets.
+    /// The host is leaving the cluster; another host can issue tickets.
     #[error("host is leaving and issues no tickets")]
     Leaving,
     /// The table is full.
-    #[error("ticket table is full until a ticket is forgotten in {retry_after_ms}")]
+    #[error("ticket table is full; the next ticket expires or is forgotten in {retry_after_ms}")]
     Full {
-        /// When the next ticket is forgotten.
+        /// Time until the next ticket expires or is forgotten.
         retry_after_ms: Millis,
     },
     /// The caller has too many tickets.
-    #[error("caller has too many tickets until one is forgotten in {retry_after_ms}")]
+    #[error(
+        "caller has too many tickets; the next ticket expires or is forgotten in {retry_after_ms}"
+    )]
     CallerFull {
-        /// When the next ticket of any caller is forgotten.
+        /// Time until the next ticket of any caller expires or is forgotten.
         retry_after_ms: Millis,
     },
     /// The caller's data must not reach this region.
     #[error("region of this host is outside the regions of the caller")]
     OutsideResidency,
-    /// The random number is already in use; draw another one.
+    /// The id is already in use; draw another one.
     #[error("ticket id is already in use")]
     DuplicateId,
 }
 
 impl IssueError {
-    /// After how long a ticket may be issued here, if it ever is.
+    /// Returns the time after which this host may issue a ticket, if it ever
+    /// may.
     pub fn retry_after_ms(self) -> Option<Millis> {
         match self {
             Self::Full { retry_after_ms } | Self::CallerFull { retry_after_ms } => {
@@ -131,7 +137,7 @@
         }
     }
 
-    /// Error code in the body of the answer.
+    /// Returns the error code for the body of the response.
     pub fn code(self) -> &'static str {
         match self {
             Self::Leaving => "ticket_host_leaving",
@@ -143,62 +149,63 @@
     }
 }
 
-/// The right to run one call once; there is at most one per ticket at a time.
+/// The right to run one call once; a ticket has at most one at a time.
 #[derive(Debug)]
 #[must_use]
 pub struct Permit {
     id: TicketId,
-    table: HostRun,
+    table: HostInstance,
 }
 
 impl Permit {
-    /// The ticket that the permit belongs to.
+    /// Returns the ticket that the permit belongs to.
     pub fn id(&self) -> TicketId {
         self.id
     }
 }
 
-/// A permit comes from another table, or the table has handed its tickets over
-/// or forgotten this one. The state of the ticket is unknown.
+/// Error for a permit that is no longer valid: it comes from another table, or
+/// the table has handed over its tickets or forgotten this one. The state of
+/// the ticket is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("ticket {0} is not in progress in this table any more")]
+#[error("ticket {0} is no longer in progress in this table")]
 pub struct StalePermit(pub TicketId);
 
-/// Answer to the begin of a call.
+/// Result of [`TicketTable::begin`].
 #[derive(Debug)]
 #[must_use]
 pub enum Begin {
-    /// The call has started: send it, then use the permit.
+    /// The call has started and must be sent.
     Started {
-        /// Ends the call.
+        /// Records the end of the call.
         permit: Permit,
-        /// Shows that no byte of the call has been sent.
+        /// Proof that no byte of the call has been sent.
         unsent: Unsent,
     },
-    /// The call has ended before; give its answer again.
-    Replay(Arc<KeptAnswer>),
+    /// The call has already finished; its kept response is sent again.
+    Replay(Arc<KeptResponse>),
     /// The call must not be sent.
     Refused(TicketRefusal),
 }
 
-/// State of a ticket for `GET /v1/tickets/TICKET`.
+/// State of a ticket, as returned by `GET /v1/tickets/TICKET`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TicketState {
     /// Not started; it may still start, so this is not `not_run`.
     Issued,
     /// In progress.
     Started,
-    /// Ended; the answer if it is still kept.
-    Finished(Option<Arc<KeptAnswer>>),
+    /// Finished; the response if it is still kept.
+    Finished(Option<Arc<KeptResponse>>),
     /// Never ran and never will.
     Closed(Closed),
-    /// May have run, and nobody will ever know.
+    /// May have run; this will not be known later either.
     Unknown,
 }
 
 impl TicketState {
-    /// The state as a word for callers.
-    pub fn word(&self) -> &'static str {
+    /// Returns the name of the state in responses to callers.
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Issued => "issued",
             Self::Started => "started",
@@ -215,11 +222,11 @@
 
 #[derive(Debug)]
 enum State {
-    /// Holds the only `Unsent` of the ticket until a call begins.
+    /// Contains the only `Unsent` of the ticket until a call begins.
     Issued(Unsent),
     /// One permit exists.
     Started,
-    Finished(Option<Arc<KeptAnswer>>),
+    Finished(Option<Arc<KeptResponse>>),
     Closed(Closed),
     Unknown,
 }
@@ -232,8 +239,8 @@
 }
 
 impl Entry {
-    /// Whether a call with `digest` is not the one the ticket is bound to.
-    fn is_bound_elsewhere(&self, digest: CallDigest) -> bool {
+    /// Whether the ticket is bound to a call other than that of `digest`.
+    fn is_bound_to_other_call(&self, digest: CallDigest) -> bool {
         self.digest.is_some_and(|bound| bound != digest)
     }
 
@@ -245,18 +252,18 @@
 #[derive(Debug)]
 enum Phase {
     Serving,
-    Leaving(HostRun),
+    Leaving(HostInstance),
     Exported(Arc<Handover>),
 }
 
-/// The tickets that one run of a host owns or has imported.
+/// The tickets that one host instance has issued or imported.
 ///
-/// All times are instants on the host's clock. The table never goes back behind
-/// the latest instant it was given, so a clock that is set back cannot revive a
-/// ticket that was called expired.
+/// All times are instants on the host's clock. The table's time never goes back
+/// behind the latest instant passed to it, so a clock that is set back cannot
+/// make a ticket valid again that was reported as expired.
 #[derive(Debug)]
 pub struct TicketTable {
-    me: Owner,
+    this_host: TicketOwner,
     limits: TicketLimits,
     started_ms: Millis,
     now_ms: Millis,
@@ -266,16 +273,16 @@
     due: BTreeSet<(Millis, TicketId)>,
     per_caller: BTreeMap<CallerId, usize>,
     kept_bytes: Bytes,
-    imported: BTreeSet<HostRun>,
-    held: BTreeSet<HostRun>,
+    imported: BTreeSet<HostInstance>,
+    owners: BTreeSet<HostInstance>,
 }
 
 impl TicketTable {
-    /// An empty table of a run that starts at `now_ms`.
-    pub fn new(me: Owner, now_ms: Millis) -> Self {
-        let held = BTreeSet::from([me.run.clone()]);
+    /// Returns an empty table for an instance that starts at `now_ms`.
+    pub fn new(this_host: TicketOwner, now_ms: Millis) -> Self {
+        let owners = BTreeSet::from([this_host.instance.clone()]);
         Self {
-            me,
+            this_host,
             limits: TicketLimits::default(),
             started_ms: now_ms,
             now_ms,
@@ -285,37 +292,38 @@
             per_caller: BTreeMap::new(),
             kept_bytes: Bytes(0),
             imported: BTreeSet::new(),
-            held,
+            owners,
         }
     }
 
-    /// The same table with other bounds.
+    /// Replaces the limits.
     pub fn with_limits(mut self, limits: TicketLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// The run that this table belongs to.
-    pub fn me(&self) -> &Owner {
-        &self.me
+    /// Returns the host instance that this table belongs to.
+    pub fn this_host(&self) -> &TicketOwner {
+        &self.this_host
     }
 
-    /// Number of tickets in the table.
+    /// Returns the number of tickets in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the table has no tickets.
+    /// Returns whether the table has no tickets.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Kept answers and room reserved for calls in progress.
+    /// Returns the size of the kept responses and of the room reserved for the
+    /// responses of calls in progress.
     pub fn kept_bytes(&self) -> Bytes {
         self.kept_bytes
     }
 
-    /// Number of calls in progress.
+    /// Returns the number of calls in progress.
     pub fn started_count(&self) -> usize {
         self.entries
             .values()
@@ -323,31 +331,32 @@
             .count()
     }
 
-    /// Runs whose tickets are decided here, for the heartbeat; none after the
-    /// export.
-    pub fn held(&self) -> &BTreeSet<HostRun> {
-        &self.held
+    /// Returns the owners of the tickets that this table decides, for the
+    /// heartbeat: this instance and those whose tickets it has imported; none
+    /// after the export.
+    pub fn owners(&self) -> &BTreeSet<HostInstance> {
+        &self.owners
     }
 
-    /// Whether the state of `ticket` is decided here.
+    /// Returns whether this table decides the state of `ticket`.
     pub fn holds(&self, ticket: &Ticket) -> bool {
-        self.held.contains(&ticket.body().owner.run)
+        self.owners.contains(&ticket.body().owner.instance)
     }
 
     /// Issues a ticket; `id` must be drawn at random.
     pub fn issue(
         &mut self,
         id: TicketId,
-        issue_for: &IssueFor<'_>,
+        issue_request: &IssueRequest<'_>,
         now_ms: Millis,
     ) -> Result<Ticket, IssueError> {
         self.advance(now_ms);
-        self.check_issue(id, issue_for)?;
+        self.check_issue(id, issue_request)?;
         let body = TicketBody {
             id,
-            owner: self.me.clone(),
-            caller: issue_for.caller.clone(),
-            service: issue_for.service.clone(),
+            owner: self.this_host.clone(),
+            caller: issue_request.caller.clone(),
+            service: issue_request.service.clone(),
             issued_ms: self.now_ms,
             expires_ms: self.now_ms + self.limits.lifetime_ms,
         };
@@ -359,11 +368,15 @@
         Ok(Ticket::new(body))
     }
 
-    fn check_issue(&self, id: TicketId, issue_for: &IssueFor<'_>) -> Result<(), IssueError> {
+    fn check_issue(
+        &self,
+        id: TicketId,
+        issue_request: &IssueRequest<'_>,
+    ) -> Result<(), IssueError> {
         if !matches!(self.phase, Phase::Serving) {
             return Err(IssueError::Leaving);
         }
-        if !issue_for.allowed.contains(&self.me.region) {
+        if !issue_request.allowed.contains(&self.this_host.region) {
             return Err(IssueError::OutsideResidency);
         }
         if self.entries.contains_key(&id) {
@@ -373,18 +386,18 @@
         if self.entries.len() >= self.limits.max_tickets {
             return Err(IssueError::Full { retry_after_ms });
         }
-        let of_caller = self.per_caller.get(issue_for.caller).copied();
+        let of_caller = self.per_caller.get(issue_request.caller).copied();
         if of_caller.unwrap_or(0) >= self.limits.max_tickets_per_caller {
             return Err(IssueError::CallerFull { retry_after_ms });
         }
         Ok(())
     }
 
-    /// Starts the call of a ticket, unless it has started before.
+    /// Starts the call of a ticket, unless it has already started.
     ///
-    /// The start is recorded before this returns. `request` is the caller's
-    /// proof that it has not sent the call itself; it is consumed, so that a
-    /// refused duplicate cannot be reported as `not_run`.
+    /// The start is recorded before this returns. `request` proves that the
+    /// code that calls this has not sent the call itself; it is consumed, so
+    /// that a refused duplicate cannot be reported as `not_run`.
     pub fn begin(
         &mut self,
         ticket: &Ticket,
@@ -408,13 +421,13 @@
         if let State::Closed(closed) = entry.state {
             return Some(refused(TicketRefusalReason::Closed(closed)));
         }
-        if entry.is_bound_elsewhere(digest) {
+        if entry.is_bound_to_other_call(digest) {
             return Some(refused(TicketRefusalReason::OtherCall));
         }
         match &entry.state {
             State::Issued(_) => self.refuse_start(),
             State::Started => Some(Begin::Refused(TicketRefusal::in_progress())),
-            State::Finished(Some(answer)) => Some(Begin::Replay(Arc::clone(answer))),
+            State::Finished(Some(response)) => Some(Begin::Replay(Arc::clone(response))),
             State::Finished(None) => Some(refused(TicketRefusalReason::AlreadyFinished)),
             State::Closed(closed) => Some(refused(TicketRefusalReason::Closed(*closed))),
             State::Unknown => Some(refused(TicketRefusalReason::Unknown)),
@@ -425,10 +438,10 @@
         if !matches!(self.phase, Phase::Serving) {
             return Some(Begin::Refused(TicketRefusal::leaving()));
         }
-        let needed_bytes = self.kept_bytes + self.limits.max_answer_bytes;
+        let needed_bytes = self.kept_bytes + self.limits.max_response_bytes;
         if needed_bytes > self.limits.max_kept_bytes {
             let retry_after_ms = self.next_due_ms() - self.now_ms;
-            let refusal = TicketRefusal::new(TicketRefusalReason::AnswersFull)
+            let refusal = TicketRefusal::new(TicketRefusalReason::ResponsesFull)
                 .with_retry_after(retry_after_ms);
             return Some(Begin::Refused(refusal));
         }
@@ -445,47 +458,49 @@
             return refused(TicketRefusalReason::Unknown);
         };
         entry.digest = Some(digest);
-        self.kept_bytes = self.kept_bytes + self.limits.max_answer_bytes;
-        let table = self.me.run.clone();
+        self.kept_bytes = self.kept_bytes + self.limits.max_response_bytes;
+        let table = self.this_host.instance.clone();
         let permit = Permit { id, table };
         Begin::Started { permit, unsent }
     }
 
-    /// Ends a call that was sent and properly answered, whatever the status.
+    /// Ends a call that was sent and has a complete response, whatever its
+    /// status.
     ///
-    /// An answer above [`TicketLimits::max_answer_bytes`] is not kept; a repeat
-    /// then learns only that the call has finished.
+    /// A response above [`TicketLimits::max_response_bytes`] is not kept; a
+    /// repeat is then refused as already finished.
     pub fn finish(
         &mut self,
         permit: Permit,
         sent: Sent,
-        answer: KeptAnswer,
+        response: KeptResponse,
         now_ms: Millis,
     ) -> Result<(), StalePermit> {
         self.advance(now_ms);
         let _consumed = sent;
-        let size_bytes = answer.size_bytes();
-        let is_kept = size_bytes <= self.limits.max_answer_bytes;
+        let size_bytes = response.size_bytes();
+        let is_kept = size_bytes <= self.limits.max_response_bytes;
         let now_ms = self.now_ms;
         let entry = self.end(permit)?;
         let is_kept = is_kept && now_ms < entry.body.expires_ms;
-        entry.state = State::Finished(is_kept.then(|| Arc::new(answer)));
+        entry.state = State::Finished(is_kept.then(|| Arc::new(response)));
         if is_kept {
             self.kept_bytes = self.kept_bytes + size_bytes;
         }
         Ok(())
     }
 
-    /// Ends a call that may have been sent and has no proper answer.
+    /// Ends a call that may have been sent and has no complete response.
     pub fn finish_unknown(&mut self, permit: Permit, now_ms: Millis) -> Result<(), StalePermit> {
         self.advance(now_ms);
         self.end(permit)?;
         Ok(())
     }
 
-    /// Takes a call back of which no byte was sent; the ticket can start again.
+    /// Returns a call of which no byte was sent to the state issued, so that it
+    /// can start again.
     ///
-    /// Nobody may be told `not_run` for this, because the same ticket may run
+    /// This must not be reported as `not_run`, because the same ticket may run
     /// later. A ticket that has expired meanwhile is closed.
     pub fn release(
         &mut self,
@@ -505,7 +520,7 @@
     }
 
     /// Gives up a call of which no byte was sent and closes its ticket, so that
-    /// the caller can be told `not_run`.
+    /// `not_run` can be reported to the caller.
     pub fn give_up(
         &mut self,
         permit: Permit,
@@ -519,24 +534,25 @@
         Ok(closed)
     }
 
-    /// Takes the call of `permit` out of progress, with the state `Unknown`.
+    /// Ends the call of `permit` with the state `Unknown`, which the methods
+    /// that use this replace if they know more.
     fn end(&mut self, permit: Permit) -> Result<&mut Entry, StalePermit> {
         let stale = StalePermit(permit.id);
-        if permit.table != self.me.run {
+        if permit.table != self.this_host.instance {
             return Err(stale);
         }
         let entry = self.entries.get_mut(&permit.id).ok_or(stale)?;
         match entry.state {
             State::Started => {
                 entry.state = State::Unknown;
-                self.kept_bytes = self.kept_bytes - self.limits.max_answer_bytes;
+                self.kept_bytes = self.kept_bytes - self.limits.max_response_bytes;
                 Ok(entry)
             }
             _ => Err(stale),
         }
     }
 
-    /// Voids a ticket that has not started; it never runs after this.
+    /// Voids a ticket whose call has not started, so that it never runs.
     pub fn void(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
         self.advance(now_ms);
         self.find(ticket)?;
@@ -555,29 +571,31 @@
         }
     }
 
-    /// State of a ticket; refused if it is not decided here.
+    /// Returns the state of a ticket, or a refusal if this table does not
+    /// decide it.
     pub fn state(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<TicketState, TicketRefusal> {
         self.advance(now_ms);
         let entry = self.find(ticket)?;
         Ok(match &entry.state {
             State::Issued(_) => TicketState::Issued,
             State::Started => TicketState::Started,
-            State::Finished(answer) => TicketState::Finished(answer.clone()),
+            State::Finished(response) => TicketState::Finished(response.clone()),
             State::Closed(closed) => TicketState::Closed(*closed),
             State::Unknown => TicketState::Unknown,
         })
     }
 
-    /// Expires and forgets tickets that are due, and returns how many tickets
-    /// are left. Every other method does this first.
+    /// Expires and forgets tickets that are due, and returns the number of
+    /// tickets that are left. Every method that takes `now_ms` does this first.
     pub fn sweep(&mut self, now_ms: Millis) -> usize {
         self.advance(now_ms);
         self.entries.len()
     }
 
-    /// Stops issuing and starting. `successor` can be replaced until the export.
-    pub fn start_handover(&mut self, successor: HostRun) -> Result<(), HandoverError> {
-        if successor == self.me.run {
+    /// Stops issuing tickets and starting calls. `successor` can be replaced
+    /// until the export.
+    pub fn start_handover(&mut self, successor: HostInstance) -> Result<(), HandoverError> {
+        if successor == self.this_host.instance {
             return Err(HandoverError::ToItself(successor));
         }
         if let Phase::Exported(handover) = &self.phase {
@@ -591,7 +609,7 @@
     ///
     /// Calls that are still in progress become unknown, so wait for
     /// [`started_count`](Self::started_count) to reach zero first, up to the
-    /// drain limit. From here on this table decides nothing. A further export
+    /// drain limit. From then on this table decides nothing. A further export
     /// returns the same message, so that it can be sent again. Tickets of
     /// callers for which `may_receive` is false, because their data must not
     /// reach the successor, are left out and become unknown.
@@ -611,13 +629,13 @@
         };
         let entries = std::mem::take(&mut self.entries).into_values();
         let handover = Arc::new(Handover {
-            from: self.me.run.clone(),
+            from: self.this_host.instance.clone(),
             to: successor,
-            held: std::mem::take(&mut self.held).into_iter().collect(),
+            owners: std::mem::take(&mut self.owners).into_iter().collect(),
             valid_until_ms: self.now_ms + HANDOVER_VALID_MS,
             tickets: entries
                 .filter(|entry| may_receive(&entry.body.caller))
-                .map(hand_over)
+                .map(to_handover_ticket)
                 .collect(),
         });
         self.due.clear();
@@ -627,20 +645,24 @@
         Ok(handover)
     }
 
-    /// Takes over the tickets of a leaving run.
+    /// Adds the tickets of a leaving instance.
     ///
-    /// Tickets that an earlier run of this host issued can only be finished or
-    /// unknown here, because this host may have called them unknown for good.
+    /// Tickets that an earlier instance of this host issued can only become
+    /// finished or unknown, because this host may already have reported them as
+    /// permanently unknown.
     pub fn import(&mut self, handover: &Handover, now_ms: Millis) -> Result<Imported, ImportError> {
         self.advance(now_ms);
         self.check_import(handover)?;
         self.imported.insert(handover.from.clone());
-        let other_runs = handover.held.iter().filter(|run| **run != self.me.run);
-        self.held.extend(other_runs.cloned());
+        let other_owners = handover
+            .owners
+            .iter()
+            .filter(|owner| **owner != self.this_host.instance);
+        self.owners.extend(other_owners.cloned());
         let mut imported = Imported::default();
         for ticket in &handover.tickets {
             if self.has_room_to_import(ticket) {
-                self.insert_handed(ticket);
+                self.insert_imported(ticket);
                 imported.accepted += 1;
             } else {
                 imported.dropped += 1;
@@ -651,10 +673,10 @@
 
     fn check_import(&self, handover: &Handover) -> Result<(), ImportError> {
         let from = handover.from.clone();
-        if handover.to != self.me.run {
+        if handover.to != self.this_host.instance {
             return Err(ImportError::NotAddressed {
                 to: handover.to.clone(),
-                me: self.me.run.clone(),
+                receiver: self.this_host.instance.clone(),
             });
         }
         if self.imported.contains(&from) {
@@ -672,21 +694,24 @@
         Ok(())
     }
 
-    /// Twice the bound, so that a full table can be handed to a full table.
-    fn has_room_to_import(&self, ticket: &HandedTicket) -> bool {
+    /// The limit for imports is twice [`TicketLimits::max_tickets`], so that a
+    /// full table can import a full table.
+    fn has_room_to_import(&self, ticket: &HandoverTicket) -> bool {
         let has_room = self.entries.len() < self.limits.max_tickets.saturating_mul(2);
         has_room && !self.entries.contains_key(&ticket.body.id)
     }
 
-    fn insert_handed(&mut self, ticket: &HandedTicket) {
-        let is_of_this_host = ticket.body.owner.run.host == self.me.run.host;
+    fn insert_imported(&mut self, ticket: &HandoverTicket) {
+        let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandedState::Finished(answer) => State::Finished(self.keep_handed(answer.as_ref())),
+            HandoverState::Finished(response) => {
+                State::Finished(self.keep_imported(response.as_ref()))
+            }
             _ if is_of_this_host => State::Unknown,
-            // The exporter has given up its own proof with the export.
-            HandedState::Issued => State::Issued(Unsent::new()),
-            HandedState::Closed(reason) => State::Closed(Closed::new(*reason, Unsent::new())),
-            HandedState::Unknown => State::Unknown,
+            // The exporter dropped its own `Unsent` with the export.
+            HandoverState::Issued => State::Issued(Unsent::new()),
+            HandoverState::Closed(reason) => State::Closed(Closed::new(*reason, Unsent::new())),
+            HandoverState::Unknown => State::Unknown,
         };
         self.insert(Entry {
             body: ticket.body.clone(),
@@ -695,14 +720,14 @@
         });
     }
 
-    fn keep_handed(&mut self, answer: Option<&KeptAnswer>) -> Option<Arc<KeptAnswer>> {
-        let answer = answer?;
-        let kept_bytes = self.kept_bytes + answer.size_bytes();
+    fn keep_imported(&mut self, response: Option<&KeptResponse>) -> Option<Arc<KeptResponse>> {
+        let response = response?;
+        let kept_bytes = self.kept_bytes + response.size_bytes();
         if kept_bytes > self.limits.max_kept_bytes {
             return None;
         }
         self.kept_bytes = kept_bytes;
-        Some(Arc::new(answer.clone()))
+        Some(Arc::new(response.clone()))
     }
 
     fn find(&self, ticket: &Ticket) -> Result<&Entry, TicketRefusal> {
@@ -713,21 +738,22 @@
         let entry = self.entries.get(&body.id);
         entry
             .filter(|entry| entry.body == *body)
-            .ok_or_else(|| self.not_held(&body.owner.run))
+            .ok_or_else(|| self.refuse_missing(&body.owner.instance))
     }
 
-    /// Answer for a ticket that is not in the table.
-    fn not_held(&self, owner: &HostRun) -> TicketRefusal {
+    /// Refusal for a ticket that is not in the table.
+    fn refuse_missing(&self, owner: &HostInstance) -> TicketRefusal {
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
-        if self.held.contains(owner) {
+        if self.owners.contains(owner) {
             // Forgotten, or left out of a handover.
             return unknown;
         }
-        if owner.host != self.me.run.host {
+        if owner.host != self.this_host.instance.host {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
-        // A successor of the earlier run may not have announced itself yet.
-        if self.now_ms < self.started_ms + OWNER_SETTLE_MS {
+        // A successor of the earlier instance may not have announced itself
+        // yet.
+        if self.now_ms < self.started_ms + HANDOVER_SETTLE_MS {
             return unknown.with_retry_after(UNREACHABLE_RETRY_MS);
         }
         unknown
@@ -777,8 +803,8 @@
             return;
         };
         let freed_bytes = match &entry.state {
-            State::Started => self.limits.max_answer_bytes,
-            State::Finished(Some(answer)) => answer.size_bytes(),
+            State::Started => self.limits.max_response_bytes,
+            State::Finished(Some(response)) => response.size_bytes(),
             _ => Bytes(0),
         };
         self.kept_bytes = self.kept_bytes - freed_bytes;
@@ -804,16 +830,17 @@
     }
 }
 
-/// Applies the expiry to a state and returns the bytes that it no longer keeps.
+/// Applies the expiry to a state and returns the bytes of the response that is
+/// dropped.
 fn expire(state: &mut State) -> Bytes {
     match std::mem::replace(state, State::Unknown) {
         State::Issued(unsent) => {
             *state = State::Closed(Closed::new(ClosedReason::Expired, unsent));
             Bytes(0)
         }
-        State::Finished(answer) => {
+        State::Finished(response) => {
             *state = State::Finished(None);
-            answer.map_or(Bytes(0), |answer| answer.size_bytes())
+            response.map_or(Bytes(0), |response| response.size_bytes())
         }
         before => {
             *state = before;
@@ -822,14 +849,14 @@
     }
 }
 
-fn hand_over(entry: Entry) -> HandedTicket {
+fn to_handover_ticket(entry: Entry) -> HandoverTicket {
     let state = match entry.state {
-        State::Issued(_) => HandedState::Issued,
-        State::Started | State::Unknown => HandedState::Unknown,
-        State::Finished(answer) => HandedState::Finished(answer.as_deref().cloned()),
-        State::Closed(closed) => HandedState::Closed(closed.reason),
+        State::Issued(_) => HandoverState::Issued,
+        State::Started | State::Unknown => HandoverState::Unknown,
+        State::Finished(response) => HandoverState::Finished(response.as_deref().cloned()),
+        State::Closed(closed) => HandoverState::Closed(closed.reason),
     };
-    HandedTicket {
+    HandoverTicket {
         body: entry.body,
         digest: entry.digest,
         state,
