--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -19,7 +19,7 @@
 const QUEUE_WEIGHT: f64 = 2.0;
 /// Shortest time after which a refused caller is asked to retry.
 const MIN_RETRY_MS: f64 = 150.0;
-/// Largest share of its remaining time that a caller waits before it retries.
+/// Callers follow a retry hint up to this share of the time that they have left.
 const MAX_RETRY_SHARE: f64 = 0.3;
 
 /// Predicted latency and cost of a request in another region.
@@ -85,16 +85,17 @@
     // A queued request is only considered while it is the most urgent one.
     let is_next = context.is_waiting || context.queue_ms <= 0.0;
     let sendable = context.local.clone().filter(|choice| {
-        let is_short =
+        let is_short_and_on_time =
             choice.work.is_short_prompt() && choice.first_event_ms <= context.goal_left_ms;
-        (is_short || (has_room && is_next)) && choice.first_event_ms < context.time_left_ms
+        (is_short_and_on_time || (has_room && is_next))
+            && choice.first_event_ms < context.time_left_ms
     });
     if let Some(choice) = sendable {
         return Placement::Send(choice);
     }
-    let is_hopeless = local_ms >= context.time_left_ms;
+    let is_past_deadline = local_ms >= context.time_left_ms;
     let is_late = local_ms > context.goal_left_ms;
-    if is_hopeless || (is_late && !context.is_waiting) {
+    if is_past_deadline || (is_late && !context.is_waiting) {
         return refuse(&context, local_ms);
     }
     Placement::Wait
