--- a/src/gateway/store_replica.rs
+++ b/src/gateway/store_replica.rs
@@ -1,13 +1,13 @@
-//! What a host believes about configuration, endpoints and hosts.
+//! A host's local copy of the store: configuration, endpoints and hosts.
 //!
-//! The belief is a copy of the store's items with their revisions. It changes
-//! through [`StoreReplica::apply`] alone, whether a change comes from the store or
-//! from another host, and an item never goes back to an earlier revision. Each
-//! change is decoded once and sent to the reactor.
+//! The replica contains the store's items with their revisions. It changes only
+//! through [`StoreReplica::apply`], whether a change comes from the store or from
+//! another host, and an item never returns to an earlier revision. Each change is
+//! decoded once and sent to the reactor.
 //!
-//! The revision of a belief is one up to which it holds every change: other
-//! hosts ask for what came after their own, so a change that was left out below
-//! it would never reach them.
+//! The revision of a replica is one up to which it contains every change. Other
+//! hosts ask for the changes after their own revision, so a change that is
+//! missing below it would never reach them.
 
 use std::{
     collections::BTreeMap,
@@ -46,31 +46,31 @@
     }, //
 };
 
-/// Deleted items that are remembered, so that other hosts learn of them.
-const MAX_DELETED: usize = 1_024;
+/// Deletions that are kept, so that other hosts can receive them.
+const MAX_DELETIONS: usize = 1_024;
 
-/// A change of what the host believes.
+/// A message to the reactor: a change of the replica or a command to the process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Update {
     /// A configuration was written.
     Configuration(Arc<Configuration>),
-    /// An endpoint announces itself.
+    /// An endpoint was announced, or its announcement changed.
     Endpoint(CompactString, Announcement),
     /// An endpoint is no longer announced.
     EndpointRemoved(CompactString),
-    /// A data centre is evacuated, or no longer.
+    /// Whether a data centre, given by name, is evacuated.
     Evacuated(CompactString, bool),
-    /// A host registered.
+    /// A host registered, or its item changed.
     Host(HostInfo),
-    /// A host's item is gone.
+    /// A host, given by name, is no longer registered.
     HostRemoved(CompactString),
-    /// The store answers, or no longer.
+    /// Whether the store responds.
     StoreReachable(bool),
-    /// The whole content of the store was read once.
+    /// The first set of changes was applied to the replica.
     Synchronised,
-    /// The process is asked to stop.
+    /// The process has to shut down.
     Stop,
-    /// The process is asked to read its settings again.
+    /// The process has to read its settings again.
     Reload,
 }
 
@@ -82,18 +82,21 @@
 }
 
 impl UpdateSender {
-    /// A sender for the reactor behind `waker`.
+    /// Creates a sender for the reactor that `waker` wakes.
     pub fn new(sender: Sender<Update>, waker: Arc<Waker>) -> Self {
         Self { sender, waker }
     }
 
-    /// Sends an update; false if the reactor has ended.
+    /// Sends an update; returns false if the reactor has ended.
     pub fn send(&self, update: Update) -> bool {
         if self.sender.send(update).is_err() {
             return false;
         }
         if let Err(error) = self.waker.wake() {
-            tracing::warn!(%error, "could not wake the reactor; it sees the update at its next tick");
+            tracing::warn!(
+                %error,
+                "could not wake the reactor; it applies the update at its next tick"
+            );
         }
         true
     }
@@ -102,11 +105,12 @@
 #[derive(Debug, Default)]
 struct Content {
     revision: StoreRevision,
+    /// Revision and value of each item; a deleted item has no value.
     entries: BTreeMap<CompactString, (StoreRevision, Option<Vec<u8>>)>,
     is_synchronised: bool,
 }
 
-/// The belief of a host, shared by the threads that change it.
+/// A host's copy of the store, shared by the threads that change it.
 #[derive(Clone)]
 pub struct StoreReplica {
     content: Arc<Mutex<Content>>,
@@ -114,7 +118,7 @@
 }
 
 impl StoreReplica {
-    /// Knows nothing; sends changes through `updates`.
+    /// Creates an empty replica that sends its changes through `updates`.
     pub fn new(updates: UpdateSender) -> Self {
         Self {
             content: Arc::default(),
@@ -126,21 +130,21 @@
         self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Revision up to which all changes are known.
+    /// Returns the revision up to which the replica contains all changes.
     pub fn revision(&self) -> StoreRevision {
         self.lock().revision
     }
 
-    /// Items changed after `revision`, for another host.
+    /// Returns the items that changed after `revision`, for another host.
     pub fn changes_after(&self, revision: StoreRevision) -> Page {
         let content = self.lock();
         let changes = content
             .entries
             .iter()
-            .filter(|(_, (changed, _))| *changed > revision)
-            .map(|(key, (changed, value))| ItemChange {
+            .filter(|(_, (item_revision, _))| *item_revision > revision)
+            .map(|(key, (item_revision, value))| ItemChange {
                 key: key.clone(),
-                revision: *changed,
+                revision: *item_revision,
                 value: value.clone(),
             })
             .collect();
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Keys that exist and are not among `present`.
+    /// Returns the keys of the replica's items that are not among `present`.
     pub fn keys_missing_from(&self, present: &[ItemChange]) -> Vec<CompactString> {
         let content = self.lock();
         content
@@ -163,7 +167,7 @@
             .collect()
     }
 
-    /// Hosts that are registered.
+    /// Returns the hosts that are registered.
     pub fn hosts(&self) -> Vec<HostInfo> {
         let content = self.lock();
         content
@@ -174,12 +178,14 @@
             .collect()
     }
 
-    /// Takes over changes; those older than what is known are ignored.
+    /// Applies changes, and raises the revision of the replica to `revision`.
+    ///
+    /// Changes that are not newer than the replica's item are ignored.
     pub fn apply(&self, changes: Vec<ItemChange>, revision: StoreRevision) {
         let mut content = self.lock();
         for change in changes {
             let known = content.entries.get(&change.key);
-            if known.is_some_and(|(changed, _)| *changed >= change.revision) {
+            if known.is_some_and(|(item_revision, _)| *item_revision >= change.revision) {
                 continue;
             }
             let before = known.and_then(|(_, value)| value.clone());
@@ -193,7 +199,7 @@
                 .entries
                 .insert(change.key, (change.revision, change.value));
             if let Some(update) = update {
-                // The lock is held, so that updates arrive in the order of changes.
+                // Sent under the lock, so that updates arrive in the order of changes.
                 self.updates.send(update);
             }
         }
@@ -205,25 +211,25 @@
         }
     }
 
-    /// Tells the reactor whether the store answers.
+    /// Reports to the reactor whether the store responds.
     pub fn report_store_reachable(&self, is_reachable: bool) {
         self.updates.send(Update::StoreReachable(is_reachable));
     }
 }
 
-/// Drops the oldest deletions beyond the limit.
+/// Drops the oldest deletions beyond [`MAX_DELETIONS`].
 fn prune_deletions(entries: &mut BTreeMap<CompactString, (StoreRevision, Option<Vec<u8>>)>) {
     let mut deleted: Vec<StoreRevision> = entries
         .values()
         .filter(|(_, value)| value.is_none())
-        .map(|(changed, _)| *changed)
+        .map(|(item_revision, _)| *item_revision)
         .collect();
-    if deleted.len() <= MAX_DELETED {
+    if deleted.len() <= MAX_DELETIONS {
         return;
     }
     deleted.sort_unstable();
-    let limit = deleted[deleted.len() - MAX_DELETED];
-    entries.retain(|_, (changed, value)| value.is_some() || *changed >= limit);
+    let limit = deleted[deleted.len() - MAX_DELETIONS];
+    entries.retain(|_, (item_revision, value)| value.is_some() || *item_revision >= limit);
 }
 
 fn deletion_update(key: &str) -> Option<Update> {
@@ -243,11 +249,17 @@
             .map(|configuration| Update::Configuration(Arc::new(configuration)))
             .map_err(|error| error.to_string())
     } else if let Some(id) = key.strip_prefix(ENDPOINT_PREFIX) {
-        // An unusable entry names no endpoint; an earlier one of it is void.
+        // An item that cannot be decoded describes no endpoint, and it replaces any
+        // earlier item, so the endpoint counts as removed.
         match decode_endpoint(value) {
             Ok(announcement) => Ok(Update::Endpoint(id.into(), announcement)),
             Err(error) => {
-                tracing::warn!(key, revision = revision.0, %error, "item is unusable");
+                tracing::warn!(
+                    key,
+                    revision = revision.0,
+                    %error,
+                    "endpoint item cannot be decoded; treating the endpoint as removed"
+                );
                 Ok(Update::EndpointRemoved(id.into()))
             }
         }
@@ -263,7 +275,12 @@
     match decoded {
         Ok(update) => Some(update),
         Err(error) => {
-            tracing::warn!(key, revision = revision.0, error, "item is unusable");
+            tracing::warn!(
+                key,
+                revision = revision.0,
+                error,
+                "item cannot be decoded; change ignored"
+            );
             None
         }
     }
