--- a/src/gateway/peer_changes.rs
+++ b/src/gateway/peer_changes.rs
@@ -1,4 +1,4 @@
-//! The call with which a host asks another one for what it knows.
+//! HTTP request with which a host fetches store changes from another host.
 
 use std::{
     io::{
@@ -25,28 +25,28 @@
     StoreRevision, //
 };
 
-/// Path of the call on the address for other hosts.
+/// Path of the request on a host's peer address.
 pub const CHANGES_PATH: &str = "/bridge/news";
-/// Longest wait for an answer of a host, a round trip between regions included.
+/// Longest wait for a host's response, including a round trip between regions.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest answer: all items of a large installation.
+/// Largest response: all items of a large installation.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why a host did not tell its news.
+/// Why changes could not be fetched from a host, or not be encoded.
 #[derive(Debug, Error)]
 pub enum PeerChangesError {
-    /// No complete answer arrived.
-    #[error("no answer: {0}")]
+    /// No complete response arrived.
+    #[error("no complete response: {0}")]
     NoResponse(#[from] io::Error),
-    /// The host refused.
-    #[error("refused with status {0}")]
+    /// The host refused the request.
+    #[error("request refused with status {0}, expected 200")]
     Refused(u16),
-    /// The answer cannot be read.
-    #[error("unreadable answer: {0}")]
-    Unreadable(#[from] postcard::Error),
+    /// The changes could not be decoded or encoded.
+    #[error("changes could not be decoded or encoded: {0}")]
+    Codec(#[from] postcard::Error),
 }
 
-/// Asks the host at `peer` for changes after `revision`.
+/// Fetches the changes after `revision` from the host at `peer`.
 pub fn fetch_changes(peer: SocketAddr, revision: StoreRevision) -> Result<Page, PeerChangesError> {
     let client = Client::new().with_global_timeout(RESPONSE_TIMEOUT);
     let request = Request::builder()
@@ -54,19 +54,19 @@
         .uri(format!("http://{peer}{CHANGES_PATH}?after={}", revision.0))
         .body(Body::empty())
         .map_err(io::Error::other)?;
-    let answer = client.request(request)?;
-    if answer.status().as_u16() != 200 {
-        return Err(PeerChangesError::Refused(answer.status().as_u16()));
+    let response = client.request(request)?;
+    if response.status().as_u16() != 200 {
+        return Err(PeerChangesError::Refused(response.status().as_u16()));
     }
     let mut bytes = Vec::new();
-    answer
+    response
         .into_body()
         .take(MAX_RESPONSE_BYTES)
         .read_to_end(&mut bytes)?;
     Ok(postcard::from_bytes(&bytes)?)
 }
 
-/// The answer to [`fetch_changes`] with this query.
+/// Encodes the response to the request of [`fetch_changes`] with this query string.
 pub fn encode_changes(replica: &StoreReplica, query: &str) -> Result<Vec<u8>, PeerChangesError> {
     let after = query
         .split('&')
@@ -74,6 +74,6 @@
         .next()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let news = replica.changes_after(StoreRevision(after));
-    Ok(postcard::to_allocvec(&news)?)
+    let changes = replica.changes_after(StoreRevision(after));
+    Ok(postcard::to_allocvec(&changes)?)
 }
