--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -1,8 +1,8 @@
-//! Threads that follow the store, and other hosts that know more.
+//! Threads that update the replica from the store and from other hosts.
 //!
-//! A store that is slow or away never holds up a request: the reactor only sees
-//! the changes. A host that the store turns away, or that is cut off from it,
-//! learns from hosts whose revision is higher.
+//! A slow or unreachable store never delays a request, because the reactor only
+//! receives changes. A host that the store refuses, or that cannot reach it,
+//! fetches changes from hosts whose revision is higher.
 
 use std::{
     net::SocketAddr,
@@ -28,40 +28,41 @@
     StoreRevision, //
 };
 
-/// Longest wait of one watch. A watch whose connection went silent is noticed
-/// after this and [`RESPONSE_TIMEOUT`], which has to be within the time after
+/// Longest wait of one watch. A watch whose connection is dead is detected after
+/// this and [`RESPONSE_TIMEOUT`], which together have to be within the time after
 /// which a host counts as connected again.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
-/// Longest wait for an answer of the store: several times its slowest.
+/// Longest wait for a response of the store: several times its slowest one.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call, so that a store that is down is not flooded.
+/// Pause after a failed call, so that a store that is down is not overloaded.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between two watches for each host of the region.
+/// Pause between two watches, per host of the region.
 const WATCH_PAUSE_PER_HOST: Duration = Duration::from_millis(80);
-/// Longest pause; with an answer of the store it stays below the time in which
-/// a configuration has to be in force, also without other hosts.
+/// Longest pause between two watches. Together with the store's response time it
+/// stays below the time within which a configuration has to be in force, even
+/// without changes from other hosts.
 const MAX_WATCH_PAUSE: Duration = Duration::from_millis(1_800);
 
-/// Follows the store's content.
+/// Keeps a replica up to date with the store.
 pub struct StoreFollower {
-    quick: StoreClient,
-    patient: StoreClient,
+    call_client: StoreClient,
+    watch_client: StoreClient,
     replica: StoreReplica,
     is_reachable: Option<bool>,
 }
 
 impl StoreFollower {
-    /// A follower of the store at `address`.
+    /// Creates a follower of the store at `address`.
     pub fn new(address: SocketAddr, replica: StoreReplica) -> Self {
         Self {
-            quick: StoreClient::new(address, RESPONSE_TIMEOUT),
-            patient: StoreClient::new(address, WATCH_WAIT + RESPONSE_TIMEOUT),
+            call_client: StoreClient::new(address, RESPONSE_TIMEOUT),
+            watch_client: StoreClient::new(address, WATCH_WAIT + RESPONSE_TIMEOUT),
             replica,
             is_reachable: None,
         }
     }
 
-    /// Follows until the process ends.
+    /// Follows the store until `is_stopping` is set.
     ///
     /// `host_count` is the number of live hosts in the region.
     pub fn run(&mut self, is_stopping: &AtomicBool, host_count: &AtomicU64) {
@@ -93,9 +94,9 @@
     }
 
     fn synchronise(&mut self) -> Result<StoreRevision, StoreError> {
-        let page = self.quick.range("")?;
-        let gone = self.replica.keys_missing_from(&page.changes);
-        let deletions = gone.into_iter().map(|key| ItemChange {
+        let page = self.call_client.range("")?;
+        let missing = self.replica.keys_missing_from(&page.changes);
+        let deletions = missing.into_iter().map(|key| ItemChange {
             key,
             revision: page.revision,
             value: None,
@@ -106,12 +107,12 @@
         Ok(revision)
     }
 
-    /// Waits for changes after `revision`; returns the revision that is known.
+    /// Waits for changes after `revision` and returns the revision reached.
     ///
-    /// The store may tell a revision without the changes that led to it while it
-    /// drops its history, so only changes themselves move the revision.
+    /// While the store drops its history it may report a revision without the
+    /// changes up to it, so only the changes themselves advance the revision.
     fn watch(&mut self, revision: StoreRevision) -> Result<StoreRevision, StoreError> {
-        let page = self.patient.watch("", revision, WATCH_WAIT)?;
+        let page = self.watch_client.watch("", revision, WATCH_WAIT)?;
         let newest = page.changes.iter().map(|change| change.revision).max();
         let revision = newest.unwrap_or(revision).max(revision);
         self.replica.apply(page.changes, revision);
@@ -132,34 +133,35 @@
     }
 }
 
-/// Pause between two watches, in which changes gather.
+/// Returns the pause between two watches, in which changes accumulate.
 ///
-/// Hosts watch at different times and learn from each other, so each of many
-/// hosts can watch more seldom.
+/// Hosts watch at different times and send each other changes, so the more hosts
+/// there are, the less often each of them needs to watch.
 fn watch_pause(host_count: u64) -> Duration {
     WATCH_PAUSE_PER_HOST
         .saturating_mul(u32::try_from(host_count).unwrap_or(u32::MAX))
         .min(MAX_WATCH_PAUSE)
 }
 
-/// Asks the hosts whose addresses arrive through `behind` for what they know.
-pub fn fetch_from_peers(replica: &StoreReplica, behind: &Receiver<SocketAddr>) {
-    while let Ok(peer) = behind.recv() {
+/// Fetches changes from the hosts whose addresses arrive through
+/// `resync_requests`.
+pub fn fetch_from_peers(replica: &StoreReplica, resync_requests: &Receiver<SocketAddr>) {
+    while let Ok(peer) = resync_requests.recv() {
         let known = replica.revision();
         match fetch_changes(peer, known) {
-            Ok(news) => {
+            Ok(page) => {
                 tracing::info!(
                     %peer,
                     known = known.0,
-                    revision = news.revision.0,
-                    entries = news.changes.len(),
-                    "learned from another host"
+                    revision = page.revision.0,
+                    entries = page.changes.len(),
+                    "received changes from another host"
                 );
-                if news.revision > known {
-                    replica.apply(news.changes, news.revision);
+                if page.revision > known {
+                    replica.apply(page.changes, page.revision);
                 }
             }
-            Err(error) => tracing::debug!(%peer, %error, "another host did not tell its news"),
+            Err(error) => tracing::debug!(%peer, %error, "could not fetch changes from a host"),
         }
     }
 }
--- a/src/gateway/registration.rs
+++ b/src/gateway/registration.rs
@@ -17,17 +17,17 @@
     StoreError, //
 };
 
-/// Longest wait for an answer of the store: half of the lease, so that a second
-/// try comes in time.
+/// Longest wait for a response of the store: half of the lease, so that a second
+/// attempt is in time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call, so that a store that is down is not flooded.
+/// Pause after a failed call, so that a store that is down is not overloaded.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Lifetime of the host's lease: two renewals may fail.
+/// Lifetime of the host's lease, in which two renewals may fail.
 const LEASE_TTL: Duration = Duration::from_millis(3_000);
-/// Interval of renewals.
+/// Interval of lease renewals.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Keeps the host's item in the store until `stop` says otherwise.
+/// Keeps the host's item in the store while the process runs.
 pub struct Registration {
     client: StoreClient,
     info: HostInfo,
@@ -35,7 +35,8 @@
 }
 
 impl Registration {
-    /// Registers `info` at the store at `address`.
+    /// Creates a registration of `info` at the store at `address`; the lease lasts at
+    /// least `min_lease_ms`.
     pub fn new(address: std::net::SocketAddr, info: HostInfo, min_lease_ms: u64) -> Self {
         Self {
             client: StoreClient::new(address, RESPONSE_TIMEOUT),
@@ -44,22 +45,23 @@
         }
     }
 
-    /// Registers, renews until `stop` is closed, and ends the lease.
+    /// Registers the host, renews its lease until `stop` gets a message or is closed,
+    /// and ends the lease.
     pub fn run(&self, stop: &Receiver<()>) {
         let mut lease: Option<LeaseId> = None;
         loop {
-            let pause = match self.step(lease) {
-                Ok(held) => {
-                    lease = Some(held);
+            let pause = match self.register_or_renew(lease) {
+                Ok(lease_id) => {
+                    lease = Some(lease_id);
                     RENEW_INTERVAL
                 }
                 Err(StoreError::LeaseEnded) => {
-                    tracing::warn!("lease of this host ended; registering again");
+                    tracing::warn!("lease of this host expired; registering again");
                     lease = None;
                     Duration::ZERO
                 }
                 Err(error) => {
-                    tracing::debug!(%error, "could not renew the registration");
+                    tracing::debug!(%error, "could not register or renew the lease; trying again");
                     RETRY_PAUSE
                 }
             };
@@ -67,22 +69,22 @@
                 break;
             }
         }
-        if let Some(held) = lease
-            && let Err(error) = self.client.end_lease(held)
+        if let Some(lease_id) = lease
+            && let Err(error) = self.client.end_lease(lease_id)
         {
-            tracing::warn!(%error, "could not end the lease; it lapses by itself");
+            tracing::warn!(%error, "could not end the lease; it expires by itself");
         }
     }
 
-    fn step(&self, lease: Option<LeaseId>) -> Result<LeaseId, StoreError> {
-        if let Some(held) = lease {
-            self.client.renew_lease(held)?;
-            return Ok(held);
+    fn register_or_renew(&self, lease: Option<LeaseId>) -> Result<LeaseId, StoreError> {
+        if let Some(lease_id) = lease {
+            self.client.renew_lease(lease_id)?;
+            return Ok(lease_id);
         }
-        let granted = self.client.grant_lease(self.ttl)?;
+        let lease_id = self.client.grant_lease(self.ttl)?;
         let key = format!("{HOST_PREFIX}{}", self.info.name);
         self.client
-            .put(&key, &serde_json::to_vec(&self.info)?, granted)?;
-        Ok(granted)
+            .put(&key, &serde_json::to_vec(&self.info)?, lease_id)?;
+        Ok(lease_id)
     }
 }
