--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -291,7 +291,7 @@
     fn dispatch(&mut self, event: &Event) {
         match event.token() {
             WAKER => {}
-            BEACONS => self.receive_beacons(),
+            BEACONS => self.receive_packets(),
             Token(index) if index < FIRST_CONNECTION => self.accept(index - FIRST_LISTENER),
             Token(index) => {
                 let key = (index - FIRST_CONNECTION) / 2;
@@ -362,7 +362,7 @@
         let now_ms = self.now_ms();
         self.send_beacons(now_ms);
         self.update_peer_loads(now_ms);
-        self.ask_seeds(now_ms);
+        self.resync_from_seeds(now_ms);
         self.check_exchanges(now_ms);
         self.serve_waiting(now_ms);
         self.send_load_update(now_ms);
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -1,4 +1,4 @@
-//! How the reactor's beliefs change: updates from the store and beacons.
+//! Changes of the reactor's state: updates of the store replica, and beacons.
 
 use std::io::ErrorKind;
 
@@ -19,33 +19,36 @@
     store_replica::Update, //
 };
 
-/// Largest packet; it fits into one packet on common links.
+/// Largest packet between hosts; it fits into one IP packet on common links.
 const MAX_PACKET_BYTES: usize = 1_400;
-/// Interval of beacons to each host of the region, for each of these hosts, so
-/// that a host receives about as many whatever the size of the region.
+/// Interval of beacons to the hosts of the region, per host, so that a host
+/// receives about as many a second whatever the size of the region.
 const BEACON_INTERVAL_PER_HOST_MS: u64 = 9;
 /// Shortest interval of beacons to the region.
 const MIN_BEACON_INTERVAL_MS: u64 = 100;
-/// Longest interval; a few fit into the silence after which a host is gone.
+/// Longest interval of beacons to the region; a few of them fit into the time
+/// without packets after which a host counts as lost.
 const MAX_BEACON_INTERVAL_MS: u64 = 900;
-/// Shortest interval between two sums over what other hosts told.
-const SHARE_UPDATE_MS: u64 = 10;
-/// The same while nothing new was told.
-const IDLE_SHARE_UPDATE_MS: u64 = 100;
-/// Time for which another host has to know more before it is asked: a change
-/// takes a round trip between regions to reach all hosts.
-const BEHIND_MS: u64 = 400;
-/// Shortest interval between two such questions.
-const ASK_INTERVAL_MS: u64 = 400;
-/// Time that the store has to answer first after the start.
+/// Shortest interval of sums over the loads of other hosts, while new loads
+/// arrive.
+const LOAD_SUM_INTERVAL_MS: u64 = 10;
+/// Shortest interval of sums over the loads of other hosts otherwise.
+const IDLE_LOAD_SUM_INTERVAL_MS: u64 = 100;
+/// Time for which this host's revision has to lag before it fetches changes: a
+/// change takes a round trip between regions to reach all hosts.
+const LAG_BEFORE_RESYNC_MS: u64 = 400;
+/// Shortest interval between two such fetches.
+const RESYNC_INTERVAL_MS: u64 = 400;
+/// Time after the start in which only the store is asked.
 const SEED_DELAY_MS: u64 = 1_000;
-/// Time in which announcements that lapsed in an outage of the store are back:
-/// the platform's two seconds and the time on the way.
+/// Time within which announcements that expired during an outage of the store are
+/// renewed: the platform's two seconds and the network latency.
 const ANNOUNCEMENT_RETURN_MS: u64 = 2_200;
 /// Interval of beacons to one host of each other region.
 const REMOTE_BEACON_INTERVAL_MS: u64 = 400;
 
 impl Reactor {
+    /// Applies a change of the replica or a command to the process.
     pub(super) fn apply_update(&mut self, update: Update) {
         let now_ms = self.now_ms();
         match update {
@@ -67,7 +70,10 @@
                     );
                 }
                 if !self.fleet.apply_announcement(&id, announcement, now_ms) {
-                    tracing::warn!(endpoint = %id, "endpoint is in an unknown data centre");
+                    tracing::warn!(
+                        endpoint = %id,
+                        "announcement ignored; the endpoint is in an unknown data centre"
+                    );
                 }
             }
             Update::EndpointRemoved(id) => {
@@ -94,15 +100,16 @@
                 self.store_back_ms = is_reachable.then_some(now_ms);
             }
             Update::Synchronised => self.is_synchronised = true,
-            Update::Stop => self.leave(now_ms),
+            Update::Stop => self.begin_shutdown(now_ms),
             Update::Reload => self.reload_settings(),
         }
     }
 
-    /// Time for which an endpoint stays in use after its announcement ended.
+    /// Returns the time for which an endpoint stays in use after its announcement
+    /// ended.
     ///
-    /// Announcements lapse while the store is away, although the endpoints
-    /// live, and are back shortly after it.
+    /// While the store is unreachable, announcements expire although the endpoints
+    /// are alive; they are renewed shortly after the store has recovered.
     fn withdrawal_delay_ms(&self, now_ms: u64) -> u64 {
         let is_settled = self
             .store_back_ms
@@ -142,14 +149,14 @@
         self.settings.shutdown_ms = settings.shutdown_ms;
     }
 
-    fn leave(&mut self, now_ms: u64) {
+    fn begin_shutdown(&mut self, now_ms: u64) {
         if self.leave_started_ms.is_some() {
             return;
         }
         tracing::info!(
             requests = self.exchanges.len(),
             limit_ms = self.settings.shutdown_ms,
-            "stopping; requests in progress are finished"
+            "shutting down; waiting for requests in progress"
         );
         self.leave_started_ms = Some(now_ms);
         self.hosts.set_leaving();
@@ -157,7 +164,7 @@
         self.next_away_beacon_ms = 0;
     }
 
-    /// Sends beacons that are due.
+    /// Sends the beacons that are due.
     pub(super) fn send_beacons(&mut self, now_ms: u64) {
         if now_ms >= self.next_beacon_ms {
             let own_region = self.settings.host.region.clone();
@@ -180,7 +187,7 @@
         }
     }
 
-    /// Addresses of the other live hosts of a region.
+    /// Returns the peer addresses of the other live hosts of a region.
     pub(super) fn peers_in(&self, region: &str, now_ms: u64) -> Vec<std::net::SocketAddr> {
         self.hosts
             .live(now_ms)
@@ -206,44 +213,47 @@
         replica.map_or(0, |replica| replica.revision().0)
     }
 
-    /// Asks a host for its news if it has known more for some time.
+    /// Requests changes from the sender of a beacon if this host's revision has lagged
+    /// behind for some time.
     ///
-    /// Changes reach hosts at different times, so a short lag means nothing.
-    fn compare_revision(&mut self, beacon: &Beacon, now_ms: u64) {
+    /// Changes reach hosts at different times, so a short lag is normal.
+    fn check_revision_lag(&mut self, beacon: &Beacon, now_ms: u64) {
         let known = self.known_revision();
         if beacon.revision <= known {
             return;
         }
-        // Other hosts may be as far behind, so only progress ends the lag.
+        // The lag ends only when this host's own revision advances: a beacon of a
+        // host that lags as much says nothing about it.
         let (since_ms, _) = *self
             .behind_since
             .filter(|(_, revision)| *revision == known)
             .get_or_insert((now_ms, known));
         self.behind_since = Some((since_ms, known));
-        if now_ms >= since_ms + BEHIND_MS {
-            self.ask(beacon.host.peer_address, now_ms);
+        if now_ms >= since_ms + LAG_BEFORE_RESYNC_MS {
+            self.request_resync(beacon.host.peer_address, now_ms);
         }
     }
 
-    /// Asks a seed while nothing is known; the store may be away.
-    pub(super) fn ask_seeds(&mut self, now_ms: u64) {
+    /// Requests changes from a seed while the replica is empty, because the store may
+    /// be unreachable.
+    pub(super) fn resync_from_seeds(&mut self, now_ms: u64) {
         if self.is_synchronised || self.settings.seeds.is_empty() || now_ms < SEED_DELAY_MS {
             return;
         }
         let index = self.draw_index(self.settings.seeds.len());
         let seed = self.settings.seeds[index];
         if seed != self.settings.host.peer_address {
-            self.ask(seed, now_ms);
+            self.request_resync(seed, now_ms);
         }
     }
 
-    fn ask(&mut self, peer: std::net::SocketAddr, now_ms: u64) {
+    fn request_resync(&mut self, peer: std::net::SocketAddr, now_ms: u64) {
         if now_ms < self.next_ask_ms {
             return;
         }
-        self.next_ask_ms = now_ms + ASK_INTERVAL_MS;
+        self.next_ask_ms = now_ms + RESYNC_INTERVAL_MS;
         if let Some(behind) = &self.behind {
-            // A host that is still being asked is enough.
+            // The channel is full while a fetch is in progress; one is enough.
             let _ = behind.try_send(peer);
         }
     }
@@ -316,34 +326,38 @@
         beacon
     }
 
+    /// Sends a packet to each of `peers`.
     pub(super) fn send_packet(&mut self, packet: &Packet, peers: &[std::net::SocketAddr]) {
         let bytes = match postcard::to_allocvec(packet) {
             Ok(bytes) if bytes.len() <= MAX_PACKET_BYTES => bytes,
             Ok(bytes) => {
-                tracing::warn!(bytes = bytes.len(), "packet is too long and was not sent");
+                tracing::warn!(
+                    bytes = bytes.len(),
+                    "packet exceeds the largest size and was not sent"
+                );
                 return;
             }
             Err(error) => {
-                tracing::warn!(%error, "could not encode a packet");
+                tracing::warn!(%error, "could not encode a packet; it was not sent");
                 return;
             }
         };
         for peer in peers {
-            // A lost packet is replaced by the next one.
+            // The next packet makes up for a lost one.
             if let Err(error) = self.beacon_socket.send_to(&bytes, *peer) {
                 tracing::debug!(%peer, %error, "could not send a packet");
             }
         }
     }
 
-    /// Takes over what the other hosts of the region have at the endpoints.
+    /// Sums the loads of the region's other hosts at each endpoint, if that is due.
     pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
         if now_ms < self.next_share_update_ms {
             return;
         }
         let interval_ms = match std::mem::take(&mut self.has_new_shares) {
-            true => SHARE_UPDATE_MS,
-            false => IDLE_SHARE_UPDATE_MS,
+            true => LOAD_SUM_INTERVAL_MS,
+            false => IDLE_LOAD_SUM_INTERVAL_MS,
         };
         self.next_share_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
@@ -352,7 +366,8 @@
             .set_peer_loads(|hash| shares.get(&hash).copied().unwrap_or_default());
     }
 
-    pub(super) fn receive_beacons(&mut self) {
+    /// Applies all packets that have arrived.
+    pub(super) fn receive_packets(&mut self) {
         let now_ms = self.now_ms();
         let mut buffer = [0_u8; MAX_PACKET_BYTES + 1];
         let mut is_changed = false;
@@ -360,18 +375,18 @@
             match self.beacon_socket.recv_from(&mut buffer) {
                 Ok((count, _)) => match postcard::from_bytes::<Packet>(&buffer[..count]) {
                     Ok(Packet::Beacon(beacon)) => {
-                        self.compare_revision(&beacon, now_ms);
+                        self.check_revision_lag(&beacon, now_ms);
                         is_changed |= self.hosts.apply_beacon(beacon, now_ms);
                     }
                     Ok(Packet::LoadUpdate(update)) => {
                         is_changed |= self.apply_load_update(&update, now_ms)
                     }
-                    Err(error) => tracing::debug!(%error, "unreadable packet"),
+                    Err(error) => tracing::debug!(%error, "could not decode a packet"),
                 },
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) => {
-                    tracing::debug!(%error, "could not receive beacons");
+                    tracing::debug!(%error, "could not receive packets");
                     break;
                 }
             }
