--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,51 +1,52 @@
 //! The operators' configuration: routes, services and caller limits.
 //!
-//! A [`Configuration`] is immutable. A host replaces it as a whole, and only by
-//! one with a higher version, so that it never handles a request as an older
-//! version would after a newer one took effect.
+//! A [`Configuration`] is immutable. A host replaces it as a unit, and only by one
+//! with a higher version, so that it never handles a request according to an older
+//! version after a newer one took effect.
 
 use compact_str::CompactString;
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request that may have run may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     Never,
-    /// A stream that another endpoint may continue after the last event.
+    /// The response is a stream that another endpoint can continue after the last
+    /// event.
     Resume,
 }
 
-/// A service with its share of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteTarget {
     /// Name of the service.
     pub service: CompactString,
-    /// Share, relative to the other targets.
+    /// Share of the requests, relative to the other targets.
     pub weight: f64,
 }
 
-/// Where requests with a host and a path prefix go, and how.
+/// Services and rules for the requests with a `Host` header and a path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name in log lines.
     pub name: CompactString,
     /// Value of the `Host` header.
     pub host: CompactString,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: CompactString,
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub is_stream: bool,
-    /// Whether requests may run again.
+    /// Whether requests may be retried.
     pub retry_policy: RetryPolicy,
-    /// Longest time that a request is kept waiting.
+    /// Time limit of a request.
     pub timeout_ms: u64,
-    /// Time within which an answer, or its first event, is on time.
+    /// Latency goal of the response, or of its first event.
     pub goal_ms: u64,
-    /// Most endpoints that may run one request.
+    /// Largest number of endpoints that may run one request.
     pub max_attempts: u32,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: Option<u8>,
     /// Services that serve the route.
     pub targets: Vec<RouteTarget>,
@@ -58,26 +59,26 @@
 pub struct Service {
     /// Name.
     pub name: CompactString,
-    /// How long an endpoint is cold after it starts.
+    /// Time for which an endpoint is cold after its start.
     pub cold_ms: u64,
     /// Requests a second that a cold endpoint tolerates; 0 for no limit.
     pub cold_per_s: f64,
-    /// What its endpoints are, if they are model engines.
+    /// Properties of its endpoints, if they are model engines.
     pub engine: Option<Engine>,
 }
 
 /// Properties of a service's model engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Memory for prompts and answers.
+    /// Memory for prompts and responses, in tokens.
     pub memory_tokens: u64,
-    /// Time to copy a cached token to another engine; none if they do not copy.
+    /// Time to copy a cached token to another engine; none if engines do not copy.
     pub copy_ms_per_token: Option<f64>,
 }
 
-/// What callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Longest head of a request.
@@ -91,7 +92,8 @@
 }
 
 impl Default for CallerLimits {
-    /// Limits until a configuration is known: those of common HTTP servers.
+    /// Returns the limits before a configuration is known: those of common HTTP
+    /// servers.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
@@ -111,12 +113,12 @@
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
 }
 
 impl Configuration {
-    /// The route with the longest matching prefix.
+    /// Returns the route of the host with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -126,7 +128,8 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Number of routes that only some regions may serve, this one among them.
+    /// Returns the number of routes that are restricted to some regions, of which
+    /// `region` is one.
     pub fn home_route_count(&self, region: &str) -> usize {
         self.routes
             .iter()
@@ -134,14 +137,15 @@
             .count()
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
 impl Route {
-    /// The service for a request, chosen by weight from `draw` in `0.0..1.0`.
+    /// Returns the service for a request, chosen by weight with the random number
+    /// `draw` in `0.0..1.0`.
     pub fn pick_service(&self, draw: f64) -> Option<&CompactString> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = draw * total;
@@ -154,7 +158,7 @@
         self.targets.last().map(|target| &target.service)
     }
 
-    /// Whether a region may serve the route.
+    /// Returns whether a region may serve the route.
     pub fn allows_region(&self, region: &str) -> bool {
         self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -46,23 +46,24 @@
     "retry_slack",
     "retry_window_s",
 ];
-/// Unit of [`HostInfo::capacity`], in parts of a core.
+/// Units of [`HostInfo::capacity`] per core.
 const CAPACITY_PER_CORE: f64 = 1_000.0;
 
 /// Settings of a gateway host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// This host, as others are told.
+    /// This host, as other hosts know it.
     pub host: HostInfo,
-    /// Where the platform asks whether the host takes requests.
+    /// Address of the readiness check.
     pub ready_address: SocketAddr,
-    /// Where callers ask which hosts to use.
+    /// Address at which callers ask for the hosts to use.
     pub directory_address: SocketAddr,
-    /// Where metrics are served, if they are.
+    /// Address at which metrics are served; none if they are not.
     pub metrics_address: Option<SocketAddr>,
-    /// Hosts to ask while the store is away at the start.
+    /// Peer addresses of hosts from which changes are fetched if the store is
+    /// unreachable at the start.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
     /// Shortest lease that the store grants.
     pub min_lease_ms: u64,
@@ -72,9 +73,9 @@
     pub shutdown_ms: u64,
     /// Limit on requests to cold endpoints.
     pub cold: ColdBounds,
-    /// Limit on repeated requests.
+    /// Limit on retries.
     pub retry: RetryBounds,
-    /// Filter for log lines, as `tracing` reads it.
+    /// Filter for log lines, in the syntax of `tracing`.
     pub log_filter: CompactString,
 }
 
@@ -84,7 +85,7 @@
         Ok(Self::parse(path, &read_text(path)?)?)
     }
 
-    /// Checks settings that were read from `path`.
+    /// Parses and checks the text of the settings file at `path`.
     pub fn parse(path: &Path, text: &str) -> Result<Self, IniError> {
         let file = IniFile::parse(path, text)?;
         file.reject_unknown_sections(
@@ -95,23 +96,23 @@
         let store = file.known_section("store", &["address", "min_lease_ms"])?;
         let limits = file.known_section("limits", LIMIT_KEYS)?;
         let logs = file.known_section("logs", &["filter"])?;
-        let info = HostInfo {
+        let host_info = HostInfo {
             name: file.value(host, "name")?,
             region: file.value(host, "region")?,
             data_centre: file.value(host, "data_centre")?,
             caller_address: file.value(host, "caller_address")?,
             peer_address: file.value(host, "peer_address")?,
-            capacity: (positive(&file, host, "capacity")? * CAPACITY_PER_CORE) as u32,
+            capacity: (non_negative(&file, host, "capacity")? * CAPACITY_PER_CORE) as u32,
         };
-        // All hosts listen on the same port; the port of a seed is that of
-        // another interface.
-        let peer_port = info.peer_address.port();
+        // All hosts listen for peers on the same port; the port in a seed's address
+        // belongs to another of its interfaces.
+        let peer_port = host_info.peer_address.port();
         let regions = regions(&file)?;
         file.check(
             host,
             "data_centre",
             "a data centre that [data_centres] maps to the host's region",
-            |_| regions.get(&info.data_centre) == Some(&info.region),
+            |_| regions.get(&host_info.data_centre) == Some(&host_info.region),
         )?;
         let log_filter: CompactString = file.value(logs, "filter")?;
         file.check(
@@ -121,7 +122,7 @@
             logs::is_valid_filter,
         )?;
         Ok(Self {
-            host: info,
+            host: host_info,
             ready_address: file.value(host, "ready_address")?,
             directory_address: file.value(host, "directory_address")?,
             seeds: file
@@ -133,15 +134,15 @@
             store_address: file.value(store, "address")?,
             min_lease_ms: file.value(store, "min_lease_ms")?,
             regions,
-            shutdown_ms: millis(positive(&file, limits, "shutdown_s")?),
+            shutdown_ms: seconds_to_ms(non_negative(&file, limits, "shutdown_s")?),
             cold: ColdBounds {
-                factor: positive(&file, limits, "cold_factor")?,
-                slack: positive(&file, limits, "cold_slack")?,
+                factor: non_negative(&file, limits, "cold_factor")?,
+                slack: non_negative(&file, limits, "cold_slack")?,
             },
             retry: RetryBounds {
-                ratio: positive(&file, limits, "retry_ratio")?,
-                slack: positive(&file, limits, "retry_slack")?,
-                window_ms: millis(positive(&file, limits, "retry_window_s")?),
+                ratio: non_negative(&file, limits, "retry_ratio")?,
+                slack: non_negative(&file, limits, "retry_slack")?,
+                window_ms: seconds_to_ms(non_negative(&file, limits, "retry_window_s")?),
             },
             log_filter,
         })
@@ -157,14 +158,14 @@
         .collect())
 }
 
-/// A number from 0.
-fn positive(file: &IniFile, section: &Section, key: &str) -> Result<f64, IniError> {
+/// Reads a number that is at least 0.
+fn non_negative(file: &IniFile, section: &Section, key: &str) -> Result<f64, IniError> {
     let text: CompactString = file.value(section, key)?;
     let number: f64 = text.parse().unwrap_or(f64::NAN);
-    file.check(section, key, "a number from 0", |_| number >= 0.0)?;
+    file.check(section, key, "a number of at least 0", |_| number >= 0.0)?;
     Ok(number)
 }
 
-fn millis(seconds: f64) -> u64 {
+fn seconds_to_ms(seconds: f64) -> u64 {
     (seconds * 1_000.0) as u64
 }
