--- a/tests/gateway_reload.rs
+++ b/tests/gateway_reload.rs
@@ -1,4 +1,4 @@
-//! What a running host does when its settings file changes.
+//! Changes of the settings file while a host runs.
 
 mod gatewayenv;
 
@@ -8,8 +8,8 @@
     store_with_configuration, //
 };
 
-/// Guards against a host that keeps old settings because their file changed
-/// without a signal.
+/// Guards against a host that keeps old settings because the file changed without
+/// a signal to the process.
 #[test]
 fn settings_are_read_again_without_a_signal() {
     let store = store_with_configuration();
@@ -20,10 +20,10 @@
     host.wait_log("settings reloaded");
 }
 
-/// Guards against a host that ends, or takes over half of its settings, because
-/// their file is wrong for a while.
+/// Guards against a host that ends, or applies only a part of its settings,
+/// because the file is invalid for some time.
 #[test]
-fn wrong_settings_leave_the_earlier_ones_in_force() {
+fn invalid_settings_leave_the_previous_ones_in_force() {
     let store = store_with_configuration();
     let host = Host::start(&store, &HostOptions::default());
 
--- a/tests/gateway_store_sync.rs
+++ b/tests/gateway_store_sync.rs
@@ -1,4 +1,4 @@
-//! Hosts that the store does not serve learn from hosts that it does.
+//! How hosts follow the store, directly or through other hosts.
 
 mod gatewayenv;
 
@@ -26,7 +26,7 @@
 };
 use serde_json::json;
 
-/// Starts a host that reaches the store at another address than its own.
+/// Starts a host that reaches the store at `address`, or directly if there is none.
 fn start(store: &MetadataStore, name: &'static str, address: Option<SocketAddr>) -> Host {
     let options = HostOptions {
         name,
@@ -36,17 +36,18 @@
     Host::start(store, &options)
 }
 
-/// Guards against hosts that keep sending to an evacuated data centre, or keep
-/// an old configuration, while the store turns them away: two such hosts that
-/// hear each other must not take each other's old news for new.
+/// Guards against hosts that keep sending to an evacuated data centre, or keep an
+/// old configuration, while they cannot reach the store. Two such hosts also
+/// receive each other's beacons and must not take each other's outdated state for
+/// the latest.
 #[test]
-fn hosts_without_the_store_learn_from_another_host() {
+fn hosts_without_the_store_fetch_changes_from_another_host() {
     let store = store_with_configuration();
     let endpoint = ScriptedEndpoint::start("e-1", |_, _| Script::Answer(200, b"ok".to_vec()))
         .expect("the endpoint starts");
     announce(&store, &endpoint, "north");
     let wire = Wire::start(store.address(), 1).expect("the wire starts");
-    let _informed = start(&store, "host-1", None);
+    let _connected = start(&store, "host-1", None);
     let cut_off = [
         start(&store, "host-2", Some(wire.address())),
         start(&store, "host-3", Some(wire.address())),
@@ -70,10 +71,10 @@
     assert!(endpoint.arrivals().is_empty());
 }
 
-/// Guards against a host that keeps an endpoint for gone although it only
-/// lapsed while the store was away.
+/// Guards against a host that stops using an endpoint whose announcement only
+/// expired because the store was unreachable.
 #[test]
-fn endpoint_that_lapsed_in_an_outage_stays_in_use() {
+fn endpoint_whose_announcement_expired_in_an_outage_stays_in_use() {
     let store = store_with_configuration();
     let endpoint = ScriptedEndpoint::start("e-1", |_, _| Script::Answer(200, b"ok".to_vec()))
         .expect("the endpoint starts");
@@ -90,7 +91,7 @@
     host.wait_log("dependency lost");
     store.delete("servers/e-1");
     wire.set_cut(false);
-    wait_until("the store is back", || {
+    wait_until("the store is reachable again", || {
         host.log().matches("dependency regained").count() == 2
     });
     let answer = Request::get("/read/1")
@@ -103,7 +104,7 @@
 
 /// Guards against a host that misses changes when the store drops its history.
 #[test]
-fn dropped_history_is_read_anew() {
+fn changes_behind_a_dropped_history_are_applied() {
     let store = store_with_configuration();
     let host = Host::start(&store, &HostOptions::default());
 
@@ -115,7 +116,7 @@
 
 /// Guards against an older configuration that replaces a newer one.
 #[test]
-fn configuration_never_goes_back() {
+fn older_configuration_is_ignored() {
     let store = store_with_configuration();
     let host = Host::start(&store, &HostOptions::default());
 
@@ -129,25 +130,25 @@
     );
 }
 
-/// Guards against a host that takes the revision of a watch that reported no
-/// changes for the revision that it knows, and so never sees those changes.
+/// Guards against a host that adopts the revision of a watch that reported no
+/// changes although there were some, and so never receives those changes.
 #[test]
-fn changes_that_a_watch_left_out_are_not_skipped() {
+fn changes_that_a_watch_omitted_are_not_skipped() {
     let store = store_with_configuration();
     let host = Host::start(&store, &HostOptions::default());
 
     store.set_fault(StoreFault::DeafWatches);
     store.put("op/config", &configuration(8));
-    // Longer than the wait of a watch, so that one ends without changes.
+    // Longer than the wait of a watch, so that one of them ends without changes.
     std::thread::sleep(std::time::Duration::from_millis(3_000));
     store.set_fault(StoreFault::None);
 
     host.wait_log("\"configuration in force\",\"version\":8");
 }
 
-/// Guards against a host that tells its revision to others while it keeps a
-/// deletion of that revision to itself: a host that the store does not serve
-/// would never hear of it.
+/// Guards against a host that announces a revision to other hosts without passing
+/// on a deletion up to it: a host that cannot reach the store would never receive
+/// that deletion.
 #[test]
 fn deletion_after_an_outage_reaches_hosts_without_the_store() {
     let store = store_with_configuration();
@@ -155,17 +156,17 @@
         .expect("the endpoint starts");
     announce(&store, &endpoint, "north");
     let wire = Wire::start(store.address(), 1).expect("the wire starts");
-    let informed = start(&store, "host-1", None);
+    let connected = start(&store, "host-1", None);
     let cut_off = start(&store, "host-2", Some(wire.address()));
     cut_off.wait_log("\"host registered\",\"host\":\"host-1\"");
     cut_off.wait_log("endpoint announced");
     wire.set_cut(true);
 
     store.set_fault(StoreFault::Busy);
-    informed.wait_log("dependency lost");
+    connected.wait_log("dependency lost");
     store.delete("servers/e-1");
     store.set_fault(StoreFault::None);
 
-    informed.wait_log("endpoint is no longer announced");
+    connected.wait_log("endpoint is no longer announced");
     cut_off.wait_log("endpoint is no longer announced");
 }
