--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway, without a network.
+//! Tests of the gateway's decisions, without a network.
 
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
     format_compact, //
 };
 
-/// Goal of long prompts on the platform.
+/// Latency goal of long prompts on the platform.
 const GOAL_MS: f64 = 1_200.0;
 const COLD: ColdBounds = ColdBounds {
     factor: 1.5,
@@ -121,7 +121,7 @@
         .collect()
 }
 
-/// The choice for a request of the model.
+/// Returns the choice for a request to the model.
 fn choose(fleet: &Fleet, call: &Call, hosts: &[CompactString], now_ms: u64) -> Option<Choice> {
     let region = RegionView {
         host_count: hosts.len(),
@@ -138,7 +138,8 @@
     fleet.choose(&demand, now_ms)
 }
 
-/// Sends that each host's own view allows to one cold endpoint in a second.
+/// Returns the requests that `host` may send to one cold endpoint in a second, if
+/// `view` are the hosts that share the limit.
 fn cold_sends(host: &str, view: &[CompactString]) -> u32 {
     let mut fleet = fleet_of(host, 1, 60_000);
     let mut sent = 0;
@@ -151,8 +152,8 @@
     sent
 }
 
-/// Guards against a cold endpoint that crashes because each host uses the whole
-/// limit, at any number of hosts.
+/// Guards against a cold endpoint that crashes because each host uses the
+/// complete limit, at any number of hosts.
 #[test]
 fn hosts_share_the_limit_of_a_cold_endpoint() {
     let bound = 1.9 * COLD.factor + COLD.slack;
@@ -172,8 +173,8 @@
     }
 }
 
-/// Guards against a limit that is exceeded while two groups of hosts each take
-/// the other one as gone.
+/// Guards against a limit that is exceeded because two groups of hosts each
+/// consider the other one lost.
 #[test]
 fn limit_of_a_cold_endpoint_holds_while_views_differ() {
     let bound = 1.9 * COLD.factor + COLD.slack;
@@ -191,17 +192,18 @@
     }
 }
 
-/// What the hosts send to one cold endpoint in a second, each by its own view:
-/// at `now_ms` it has just heard the hosts in `hears`, and all are registered.
+/// Returns the requests that the hosts send to one cold endpoint in a second, each
+/// by its own view: at `now_ms` it has just received beacons of the hosts in
+/// `visible`, and `registered` hosts are registered.
 fn cold_sends_of(views: &[(usize, Vec<usize>)], registered: usize, now_ms: u64) -> u32 {
-    let sends = views.iter().map(|(own, hears)| {
+    let sends = views.iter().map(|(own, visible)| {
         let name = |number: &usize| format!("host-{number}");
         let mut hosts = Hosts::new(host(&name(own), "north"));
         hosts.set_store_reachable(true);
         for number in 0..registered {
             hosts.register(host(&name(&number), "north"));
         }
-        for number in hears {
+        for number in visible {
             hosts.apply_beacon(beacon(&name(number), 1), now_ms);
         }
         let view = hosts.region_view(now_ms);
@@ -210,9 +212,9 @@
     sends.sum()
 }
 
-/// Load: all hosts of a region lose power with their endpoints and come back
-/// together, before they have heard of each other. Guards against a cold
-/// endpoint that each of them counts as its own.
+/// All hosts of a region lose power with their endpoints and restart together,
+/// before they know of each other. Guards against hosts that each use the complete
+/// limit of a cold endpoint.
 #[test]
 fn limit_of_a_cold_endpoint_holds_after_a_common_restart() {
     let bound = 1.9 * COLD.factor + COLD.slack;
@@ -223,16 +225,16 @@
     assert!(f64::from(total) <= bound, "{total} of {bound}");
 }
 
-/// Load: a region falls apart into groups that do not hear each other. Guards
-/// against a limit that each of more than two groups uses.
+/// A region is partitioned into groups of hosts that cannot reach each other.
+/// Guards against a limit that each of more than two groups uses.
 #[test]
 fn limit_of_a_cold_endpoint_holds_in_any_partition() {
     let bound = 1.9 * COLD.factor + COLD.slack;
     for group_count in 1..=12 {
         let views: Vec<(usize, Vec<usize>)> = (0..12)
             .map(|own| {
-                let hears = (0..12).filter(|other| other % group_count == own % group_count);
-                (own, hears.collect())
+                let visible = (0..12).filter(|other| other % group_count == own % group_count);
+                (own, visible.collect())
             })
             .collect();
 
@@ -249,7 +251,7 @@
     }
 }
 
-/// A host of a region in which hosts tell each other their sends.
+/// A host of a region in which hosts send each other load updates.
 struct Placer {
     name: CompactString,
     fleet: Fleet,
@@ -277,7 +279,7 @@
 }
 
 impl Placer {
-    /// Sends a prompt and returns the endpoint and what the host tells of it.
+    /// Sends a prompt and returns the endpoint and the load update about it.
     fn send(&mut self, call: &Call, now_ms: u64) -> (CompactString, LoadUpdate) {
         let choice = choose(&self.fleet, call, &[], now_ms).expect("an endpoint");
         let endpoint = self.fleet.get_mut(&choice.endpoint).expect("the endpoint");
@@ -317,9 +319,9 @@
     }
 }
 
-/// Load: each of 22 hosts places a long prompt within a fifth of a second, faster
-/// than beacons tell of them. Guards against hosts that all send to the endpoint
-/// that looked idle in the last beacon.
+/// Each of 22 hosts places a long prompt within a fifth of a second, faster than
+/// beacons report them. Guards against hosts that all send to the endpoint that
+/// looked idle in the last beacon.
 #[test]
 fn prompts_of_many_hosts_spread_over_the_endpoints() {
     let mut placers = placers(22, 16);
@@ -330,7 +332,7 @@
 
         let (endpoint, update) = placers[index].send(&call, now_ms);
 
-        // An engine of the platform reads 56.6 tokens in a millisecond.
+        // An engine of the platform prefills 56.6 tokens in a millisecond.
         let prefill_tokens = update.shares[0].backlog_tokens;
         *prefill_ms.entry(endpoint).or_default() += u64::from(prefill_tokens) * 10 / 566;
         for placer in &mut placers {
@@ -344,8 +346,8 @@
     );
 }
 
-/// Load: a burst of sends while many endpoints are lost. Guards against an update
-/// that is too long for a packet and is not sent at all.
+/// A burst of sends coincides with the loss of many endpoints. Guards against an
+/// update that is too long for a packet and therefore not sent at all.
 #[test]
 fn update_of_a_burst_fits_into_packets() {
     const PACKET_BYTES: usize = 1_400;
@@ -374,12 +376,12 @@
         pending.record_block(u32::MAX, u64::from(u32::MAX));
     }
 
-    let mut told = 0;
+    let mut sent_count = 0;
     for now_ms in (0..1_000).step_by(5) {
         let Some(changes) = pending.take_due(1, now_ms) else {
             continue;
         };
-        told += changes.sends.len();
+        sent_count += changes.sends.len();
         let share = EndpointLoadShare {
             endpoint: u32::MAX,
             active: u32::MAX,
@@ -397,17 +399,18 @@
         let bytes = postcard::to_allocvec(&Packet::LoadUpdate(update)).expect("it is encoded");
         assert!(bytes.len() <= PACKET_BYTES, "{} bytes", bytes.len());
     }
-    assert_eq!(told, 100, "not every send was told");
+    assert_eq!(sent_count, 100, "not every send was reported");
 }
 
-/// Load: requests with one shared part arrive at several hosts. Guards against a
-/// part that is read again at another endpoint although a host told where it is.
+/// Requests with the same shared part arrive at several hosts. Guards against a
+/// part that is prefilled again at another endpoint although a host reported where
+/// it is cached.
 #[test]
 fn shared_part_is_found_where_another_host_sent_it() {
     for part in 10..40 {
         let mut placers = placers(2, 9);
         let (first, rest) = placers.split_at_mut(1);
-        let (filled, update) = first[0].send(&prompt(part, 1), 1_000);
+        let (cached_at, update) = first[0].send(&prompt(part, 1), 1_000);
         // A longer shared part, so that the hash of the part prefers another
         // endpoint for the second request.
         let mut longer = prompt(part, 2);
@@ -417,34 +420,34 @@
             tokens: Tokens(6_400),
         });
         rest[0].apply_update(&update, 1_005);
-        // The first prompt has been read since.
+        // The first prompt has been prefilled in the meantime.
         rest[0].fleet.set_peer_loads(|_| LoadShare::default());
 
         let choice = choose(&rest[0].fleet, &longer, &[], 2_000).expect("an endpoint");
 
         assert!(
             choice.work.uncached_tokens <= 6_500,
-            "part {part} at {filled} is read again: {choice:?}"
+            "part {part} at {cached_at} is prefilled again: {choice:?}"
         );
     }
 }
 
-/// Load: long answers among many long prompts. Guards against a stream that does
-/// not end within its time limit because its engine reads prompts most of the
-/// time, while another engine only has more streams.
+/// Long responses are requested among many long prompts. Guards against a stream
+/// that misses its time limit because its engine spends most of the time on
+/// prefill, while another engine only has more streams.
 #[test]
-fn long_answer_goes_where_few_prompts_are_read() {
+fn long_response_is_placed_where_few_prompts_are_prefilled() {
     let mut fleet = fleet_of("host-0", 2, 0);
-    let reading = fleet.get_mut("e-0").expect("the endpoint");
+    let prefilling = fleet.get_mut("e-0").expect("the endpoint");
     // Nine tenths of the last two seconds, at 56.6 tokens in a millisecond.
     for now_ms in (1_000..3_000).step_by(200) {
         let prompt = Work {
             uncached_tokens: 10_000,
             reserved_tokens: 0,
         };
-        reading.record_send(prompt, now_ms);
-        reading.record_end(prompt, true);
-        reading.record_first_event(prompt);
+        prefilling.record_send(prompt, now_ms);
+        prefilling.record_end(prompt, true);
+        prefilling.record_first_event(prompt);
     }
     let streaming = fleet.get_mut("e-1").expect("the endpoint");
     for _ in 0..12 {
@@ -461,11 +464,11 @@
     assert_eq!(choice.endpoint, "e-1");
 }
 
-/// Load: some endpoints of a region crash at once. Guards against each host that
-/// finds out by itself, with requests that are refused meanwhile, and against an
-/// endpoint that is lost to all because one host is cut off from it.
+/// Some endpoints of a region crash at the same time. Guards against hosts that
+/// each have to detect this with refused requests, and against an endpoint that no
+/// host uses because one of them cannot reach it.
 #[test]
-fn endpoint_that_another_host_cannot_reach_is_left() {
+fn endpoint_that_another_host_cannot_reach_is_avoided() {
     let mut fleet = fleet_of("host-0", 2, 0);
     let lost = fleet.get("e-0").expect("the endpoint").hash;
     let block = EndpointBlock {
@@ -485,8 +488,8 @@
     assert_eq!(usable(&fleet, 2_100), 2);
 }
 
-/// Load: many requests with the same shared part from hosts that do not hear
-/// each other. Guards against a part that every endpoint reads.
+/// Hosts that do not know each other's load get many requests with the same shared
+/// part. Guards against a part that every endpoint prefills.
 #[test]
 fn hosts_agree_on_the_endpoint_for_a_shared_part() {
     let view = names(3);
@@ -503,8 +506,8 @@
     }
 }
 
-/// Load: one shared part that is asked for faster than one endpoint reads.
-/// Guards against a backlog at the preferred endpoint beside idle ones.
+/// Requests with one shared part arrive faster than one endpoint prefills them.
+/// Guards against a backlog at the preferred endpoint while others are idle.
 #[test]
 fn backlog_moves_requests_to_other_endpoints() {
     let mut fleet = fleet_of("host-0", 4, 0);
@@ -520,10 +523,10 @@
     assert!(loads.values().all(|load| *load <= 20), "{loads:?}");
 }
 
-/// Guards against requests to an endpoint that fails half of them while its
-/// health looks good.
+/// Guards against requests to an endpoint that fails half of them although its
+/// health checks pass.
 #[test]
-fn failing_endpoint_is_left() {
+fn failing_endpoint_is_avoided() {
     let mut fleet = fleet_of("host-0", 3, 0);
     for _ in 0..8 {
         let endpoint = fleet.get_mut("e-0").expect("the endpoint");
@@ -538,8 +541,8 @@
     }
 }
 
-/// Guards against requests to an endpoint that leaves, and against a restarted
-/// endpoint that is judged by its earlier life.
+/// Guards against requests to an endpoint that is shutting down, and against a
+/// restarted endpoint that is blocked for failures of its earlier instance.
 #[test]
 fn announcements_decide_which_endpoints_are_used() {
     let mut fleet = fleet_of("host-0", 1, 0);
@@ -557,18 +560,18 @@
     fleet.apply_announcement("e-0", restarted.clone(), 50);
     assert!(choose(&fleet).is_some(), "a restarted endpoint is not used");
 
-    let leaving = Announcement {
+    let draining = Announcement {
         stage: Stage::Draining,
         ..restarted
     };
-    fleet.apply_announcement("e-0", leaving, 60);
-    assert_eq!(choose(&fleet), None, "a leaving endpoint is used");
+    fleet.apply_announcement("e-0", draining, 60);
+    assert_eq!(choose(&fleet), None, "a draining endpoint is used");
 }
 
-/// Guards against endpoints of an evacuated data centre that are taken as warm
-/// when it is taken back.
+/// Guards against endpoints of an evacuated data centre that count as warm when
+/// its use resumes.
 #[test]
-fn evacuated_data_centre_is_left_and_comes_back_cold() {
+fn evacuated_data_centre_is_unused_and_its_endpoints_are_cold_afterwards() {
     let mut fleet = fleet_of("host-0", 1, 0);
     let configuration = Configuration {
         services: vec![model()],
@@ -607,8 +610,8 @@
     }
 }
 
-/// Load: more prompts than the region reads. Guards against a queue that is
-/// longer than the goal, in which no request is on time.
+/// More prompts arrive than the region can prefill. Guards against a queue that is
+/// longer than the latency goal, so that no request meets it.
 #[test]
 fn request_that_would_be_late_is_refused_at_once() {
     let late = PlacementContext {
@@ -617,13 +620,13 @@
     };
 
     let Placement::Refuse(retry_ms) = place(late) else {
-        panic!("a request that will be late was taken");
+        panic!("a request that will be late was accepted");
     };
 
     assert!((1_000..=2_400).contains(&retry_ms), "{retry_ms}");
 }
 
-/// Guards against a request that jumps over those that wait.
+/// Guards against a request that overtakes queued ones.
 #[test]
 fn request_waits_behind_earlier_ones() {
     let queued = PlacementContext {
@@ -634,11 +637,11 @@
     assert_eq!(place(queued), Placement::Wait);
 }
 
-/// Load: the peak of a small region while others are idle. Guards against late
-/// answers beside idle endpoints elsewhere, and against traffic between regions
-/// that gains nothing.
+/// A small region has its peak load while others are idle. Guards against late
+/// responses while endpoints elsewhere are idle, and against traffic between
+/// regions without a benefit.
 #[test]
-fn request_goes_away_only_for_a_clear_gain() {
+fn request_is_forwarded_only_for_a_clear_gain() {
     let offer = RemoteOffer {
         region: "south".into(),
         first_event_ms: 300.0,
@@ -658,27 +661,27 @@
     assert!(matches!(place(idle), Placement::Send(_)));
 }
 
-/// Guards against repeats that multiply the load of a failing service.
+/// Guards against retries that multiply the load of a failing service.
 #[test]
-fn repeats_stay_within_the_limit_of_all_hosts() {
+fn retries_stay_within_the_limit_for_all_hosts() {
     let bounds = RetryBounds {
         ratio: 0.2,
         slack: 56.0,
         window_ms: 10_000,
     };
     let host_count = 8;
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..host_count {
         let mut budget = RetryBudget::new(bounds);
         for request in 0..500 {
             budget.record_request("desk", request);
-            repeats += u32::from(budget.try_take("desk", host_count, request));
+            retries += u32::from(budget.try_take("desk", host_count, request));
         }
     }
 
     let limit = 0.2 * 500.0 * host_count as f64 + 56.0;
-    assert!(f64::from(repeats) <= limit, "{repeats} of {limit}");
-    assert!(f64::from(repeats) >= limit / 3.0, "{repeats} of {limit}");
+    assert!(f64::from(retries) <= limit, "{retries} of {limit}");
+    assert!(f64::from(retries) >= limit / 3.0, "{retries} of {limit}");
 }
 
 fn host(name: &str, region: &str) -> HostInfo {
@@ -705,31 +708,31 @@
     }
 }
 
-/// Guards against a directory that sends callers to a region that may not see
+/// Guards against a directory that sends callers to a region that may not serve
 /// their requests while their own region has hosts.
 #[test]
 fn directory_names_hosts_of_the_callers_region() {
     let mut hosts = Hosts::new(host("host-0", "north"));
     hosts.set_store_reachable(true);
-    let far = HostInfo {
+    let remote = HostInfo {
         caller_address: "10.0.0.9:80".parse().expect("an address"),
         ..host("host-9", "south")
     };
-    hosts.register(far.clone());
+    hosts.register(remote.clone());
 
     let south = hosts.directory("south", "south-a", |_| 0, 0);
-    assert_eq!(south, vec![far.caller_address]);
+    assert_eq!(south, vec![remote.caller_address]);
 
     hosts.unregister("host-9");
     let south = hosts.directory("south", "south-a", |_| 0, 0);
     assert_eq!(south, vec![host("host-0", "north").caller_address]);
 }
 
-/// Load: all hosts of a region are restarted one after the other, so that for some
-/// seconds none takes requests. Guards against callers that are sent to a region
-/// in which their requests may not be seen.
+/// All hosts of a region are restarted one after the other, so that for some
+/// seconds none accepts requests. Guards against callers that are sent to a region
+/// that may not serve their requests.
 #[test]
-fn directory_falls_back_to_a_region_that_is_a_home() {
+fn directory_falls_back_to_a_home_region() {
     let mut hosts = Hosts::new(host("host-0", "north"));
     hosts.set_store_reachable(true);
     let home = HostInfo {
@@ -738,20 +741,20 @@
     };
     hosts.register(home.clone());
 
-    let named = hosts.directory(
+    let addresses = hosts.directory(
         "south",
         "south-a",
         |region| usize::from(region == "west"),
         0,
     );
 
-    assert_eq!(named, vec![home.caller_address]);
+    assert_eq!(addresses, vec![home.caller_address]);
 }
 
-/// Guards against a host that is named although it was killed while the store
-/// is away, and against one that is forgotten although it is heard.
+/// Guards against a host that counts as live although it was killed while the
+/// store is unreachable, and against one that does not although its beacons arrive.
 #[test]
-fn silence_ends_a_host_while_the_store_is_away() {
+fn host_without_beacons_is_not_live_while_the_store_is_unreachable() {
     let mut hosts = Hosts::new(host("host-0", "north"));
     hosts.set_store_reachable(true);
     hosts.register(host("host-1", "north"));
@@ -762,7 +765,7 @@
     assert_eq!(hosts.live(6_000).count(), 0);
     assert!(
         !hosts.apply_beacon(beacon("host-1", 2), 6_000),
-        "an old beacon counts"
+        "an outdated beacon was applied"
     );
     assert!(hosts.apply_beacon(beacon("host-1", 3), 6_000));
     assert_eq!(hosts.live(6_100).count(), 1);
