--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -509,11 +509,11 @@
                 continue;
             }
             // Only tokens that have been prefilled can be copied.
-            let read = endpoint.cached_tokens(demand.call, lifetime_tokens, now_ms);
+            let prefilled = endpoint.cached_tokens(demand.call, lifetime_tokens, now_ms);
             let best = caches.source.as_ref().map_or(0, |(_, _, tokens)| *tokens);
-            if read > best {
+            if prefilled > best {
                 let address = endpoint.announcement.address;
-                caches.source = Some((endpoint.id.clone(), address, read));
+                caches.source = Some((endpoint.id.clone(), address, prefilled));
             }
         }
         caches
--- a/src/gateway/hosts.rs
+++ b/src/gateway/hosts.rs
@@ -177,7 +177,7 @@
         self.is_leaving = true;
     }
 
-    /// Records whether the store answers.
+    /// Records whether the store responds.
     pub fn set_store_reachable(&mut self, is_reachable: bool) {
         self.is_store_reachable = is_reachable;
     }
