--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -34,7 +34,7 @@
         EndpointBlock,
         SentPrompt, //
     },
-    request::Call, //
+    request::RequestMetadata, //
 };
 
 /// Time until a first event without any prompt to prefill: the shortest that a
@@ -115,7 +115,7 @@
     /// Its service.
     pub service: &'a Service,
     /// Metadata of the caller's request.
-    pub call: &'a Call,
+    pub call: &'a RequestMetadata,
     /// Endpoints that are not chosen.
     pub excluded: &'a [CompactString],
     /// The hosts of the region.
@@ -199,7 +199,7 @@
     let prefill_share = endpoint
         .prefill_share(prefill_ms_per_token, now_ms)
         .min(MAX_PREFILL_SHARE);
-    let tokens = demand.call.max_output.0 as f64;
+    let tokens = demand.call.max_output_tokens.0 as f64;
     let stream_ms = endpoint.slowness() * tokens * DECODE_STEP_MS / (1.0 - prefill_share);
     let is_overrun = choice.first_event_ms + stream_ms > demand.time_left_ms;
     let overrun_ms = if is_overrun { OVERRUN_COST_MS } else { 0.0 };
@@ -208,7 +208,7 @@
 
 /// Returns the tokens that an endpoint is expected to have cached: the known ones
 /// or, at the endpoint that all hosts prefer, those that they probably sent there.
-fn expected_cached(known: u64, call: &Call, is_preferred: bool) -> u64 {
+fn expected_cached(known: u64, call: &RequestMetadata, is_preferred: bool) -> u64 {
     if !is_preferred {
         return known;
     }
@@ -489,7 +489,7 @@
     /// Estimates where the start of the prompt is cached.
     fn caches(&self, demand: &Demand<'_>, now_ms: u64) -> Caches {
         let service = demand.service;
-        let affinity = demand.call.affinity();
+        let affinity = demand.call.affinity_key();
         let preferred = affinity.and_then(|part| self.preferred(&service.name, part, now_ms));
         let memory_tokens = service.engine.map_or(0, |engine| engine.memory_tokens);
         let lifetime_tokens = (memory_tokens as f64 * CACHE_SHARE) as u64;
@@ -529,12 +529,12 @@
         now_ms: u64,
     ) -> f64 {
         let call = demand.call;
-        let is_known = call.affinity().is_some_and(|part| {
+        let is_known = call.affinity_key().is_some_and(|part| {
             let sent_ms = self.remote_parts.get(&(region.into(), part));
             sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + REMOTE_CACHE_LIFETIME_MS)
         });
         let cached = if is_known { call.shared_tokens() } else { 0 };
-        let uncached_tokens = call.prompt.0.saturating_sub(cached);
+        let uncached_tokens = call.prompt_tokens.0.saturating_sub(cached);
         let prefill_ms =
             uncached_tokens as f64 * self.mean_prefill_ms_per_token(demand.service, now_ms);
         REMOTE_COST_MS
@@ -543,12 +543,12 @@
     }
 
     /// Remembers the prompt of a request that was forwarded to another region.
-    pub fn record_remote_prompt(&mut self, region: &str, call: &Call, now_ms: u64) {
+    pub fn record_remote_prompt(&mut self, region: &str, call: &RequestMetadata, now_ms: u64) {
         if self.remote_parts.len() > MAX_REMOTE_PARTS {
             self.remote_parts
                 .retain(|_, sent_ms| now_ms < *sent_ms + REMOTE_CACHE_LIFETIME_MS);
         }
-        if let Some(part) = call.affinity() {
+        if let Some(part) = call.affinity_key() {
             self.remote_parts.insert((region.into(), part), now_ms);
         }
     }
@@ -644,7 +644,7 @@
     pub fn backlog_ms(&self, endpoint: &Endpoint, service: &Service, now_ms: u64) -> f64 {
         let demand = Demand {
             service,
-            call: &Call::default(),
+            call: &RequestMetadata::default(),
             excluded: &[],
             region: &RegionView::default(),
             goal_left_ms: 0.0,
@@ -667,11 +667,11 @@
 
     /// Returns the time that an endpoint spends on a request before it can begin
     /// with the next.
-    pub fn service_ms(&self, service: &Service, call: &Call, now_ms: u64) -> f64 {
+    pub fn service_ms(&self, service: &Service, call: &RequestMetadata, now_ms: u64) -> f64 {
         match service.engine {
             Some(_) => {
                 FIRST_EVENT_MS
-                    + call.prompt.0 as f64 * self.mean_prefill_ms_per_token(service, now_ms)
+                    + call.prompt_tokens.0 as f64 * self.mean_prefill_ms_per_token(service, now_ms)
             }
             None => self.mean_run_ms(service) / 2.0,
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,13 +1,13 @@
-//! The gateway for HTTP requests of the users' platform.
+//! Gateway for the HTTP requests of the platform's callers.
 //!
-//! A host accepts requests, finds their route in the operators' configuration,
-//! and sends each to an endpoint of its own region or, once, to a host of
-//! another region. The decisions ([`admission`], [`fleet`], [`retry_budget`],
-//! [`hosts`]) open no socket and read no clock. [`reactor`] carries them out.
-//! Names of the platform stand only in [`crate::platform`].
+//! A host accepts requests, looks up their route in the operators'
+//! configuration, and sends each to an endpoint of its own region or, once, to a
+//! host of another region. The decision modules ([`admission`], [`fleet`],
+//! [`retry_budget`], [`hosts`]) do no I/O and read no clock; [`reactor`] carries
+//! out their decisions. Names that the platform defines occur only in
+//! [`crate::platform`].
 
 pub mod admission;
-pub mod answer;
 pub mod body;
 pub mod configuration;
 pub mod connection;
@@ -23,13 +23,14 @@
 pub mod reactor;
 pub mod registration;
 pub mod request;
+pub mod response;
 pub mod retry_budget;
-mod serve_answer;
 mod serve_caller;
-mod serve_ending;
-mod serve_endpoint;
-mod serve_exchange;
-mod serve_sending;
+mod serve_completion;
+mod serve_dispatch;
+mod serve_placement;
+mod serve_response;
+mod serve_upstream;
 pub mod settings;
 pub mod start;
 mod state_updates;
--- a/src/gateway/serve_caller.rs
+++ b/src/gateway/serve_caller.rs
@@ -1,24 +1,19 @@
-//! Connections from callers and other hosts: reading requests, writing answers.
+//! Connections from callers and other hosts: reading requests and writing responses.
 
 use mio::event::Event;
 
 use super::{
-    answer::{
-        FORWARD_HEADER,
-        OwnAnswer,
-        write_own, //
-    },
     body::BodyDecoder,
     configuration::CallerLimits,
     connection::{
-        Client,
-        ReadEnd,
-        Reading,
+        InboundConnection,
+        ReadState,
+        RequestProgress,
         Role, //
     },
     exchange::{
         CallerRequest,
-        Plan, //
+        ResolvedRoute, //
     },
     head::{
         HeadError,
@@ -29,88 +24,95 @@
         CHANGES_PATH,
         encode_changes, //
     },
-    reactor::Reactor, //
+    reactor::Reactor,
+    response::{
+        FORWARD_HEADER,
+        GatewayResponse,
+        write_gateway_response, //
+    }, //
 };
 use crate::platform::headers::{
     DIRECTORY_PATH,
     READY_PATH,
-    decode_call,
     decode_directory_query,
+    decode_request_metadata,
     encode_directory_answer, //
 };
 
-/// How long callers may use a directory answer. Short, so that hosts that leave
-/// get no new callers, and long enough that asking costs little.
+/// How long callers may cache a directory response: short, so that leaving hosts
+/// receive no new callers, and long enough that queries are cheap.
 const DIRECTORY_TTL_S: u32 = 2;
-/// When a caller may come back to a host that knows no configuration yet.
+/// Retry time for callers of a host that has no configuration yet.
 const NOT_READY_RETRY_MS: u64 = 500;
-/// When a caller may come back to a host that ends; others take it at once.
+/// Retry time for callers of a host that shuts down; other hosts can serve the
+/// request immediately.
 const LEAVING_RETRY_MS: u64 = 50;
-/// Output beyond which the answer of an endpoint is not read further.
+/// Pending output to a caller beyond which reading from the endpoint is paused.
 pub const MAX_OUTPUT_BYTES: usize = 512 * 1024;
-/// Input that is kept while a request is in progress.
+/// Maximum buffered input of a connection while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 256 * 1024;
 
 impl Reactor {
-    pub(super) fn client_event(&mut self, key: usize, event: &Event) {
+    pub(super) fn inbound_event(&mut self, key: usize, event: &Event) {
         if event.is_readable() || event.is_read_closed() || event.is_error() {
-            self.read_client(key);
+            self.read_inbound(key);
         }
         if event.is_writable() {
-            self.flush_client(key);
+            self.flush_inbound(key);
         }
     }
 
-    fn read_client(&mut self, key: usize) {
+    fn read_inbound(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        let end = client.wire.fill();
-        if !client.wire.input.is_empty() {
-            client.active_ms = now_ms;
+        let read_state = inbound.socket.fill();
+        if !inbound.socket.input.is_empty() {
+            inbound.last_active_ms = now_ms;
         }
-        match end {
-            ReadEnd::Broken => return self.drop_client(key),
-            ReadEnd::Closed => client.is_read_closed = true,
-            ReadEnd::Open => {}
+        match read_state {
+            ReadState::Broken => return self.abort_inbound(key),
+            ReadState::Closed => inbound.is_read_closed = true,
+            ReadState::Open => {}
         }
-        if client.exchange.is_some() {
-            let has_left = client.is_read_closed || client.wire.input.len() > MAX_PIPELINED_BYTES;
-            if has_left {
-                self.drop_client(key);
+        if inbound.exchange.is_some() {
+            let is_abandoned =
+                inbound.is_read_closed || inbound.socket.input.len() > MAX_PIPELINED_BYTES;
+            if is_abandoned {
+                self.abort_inbound(key);
             }
             return;
         }
         self.read_requests(key);
     }
 
-    /// Reads requests from the input until one is in progress.
+    /// Processes requests in the input until one is in progress.
     pub(super) fn read_requests(&mut self, key: usize) {
         let now_ms = self.now_ms();
         let limits = self.limits();
         loop {
-            let Some(client) = self.clients.get_mut(key) else {
+            let Some(inbound) = self.inbound.get_mut(key) else {
                 return;
             };
-            if client.exchange.is_some() || client.closes {
+            if inbound.exchange.is_some() || inbound.is_closing {
                 return;
             }
-            if !client.wire.input.is_empty() && client.request_started_ms.is_none() {
-                client.request_started_ms = Some(now_ms);
+            if !inbound.socket.input.is_empty() && inbound.request_started_ms.is_none() {
+                inbound.request_started_ms = Some(now_ms);
             }
-            match read_request(client, &limits) {
+            match read_request(inbound, &limits) {
                 Ok(Some((head, body))) => self.handle_request(key, head, body),
-                Ok(None) if client.is_read_closed => return self.drop_client(key),
+                Ok(None) if inbound.is_read_closed => return self.abort_inbound(key),
                 Ok(None) => {
-                    if client.wire.unwritten() > 0 {
-                        self.flush_client(key);
+                    if inbound.socket.unwritten() > 0 {
+                        self.flush_inbound(key);
                     }
                     return;
                 }
                 Err(status) => {
-                    tracing::info!(status, "request refused because of its form");
-                    self.answer_and_close(key, OwnAnswer::plain(status));
+                    tracing::info!(status, "request rejected: malformed or above a limit");
+                    self.respond_and_close(key, GatewayResponse::new(status));
                     return;
                 }
             }
@@ -123,77 +125,81 @@
     }
 
     fn handle_request(&mut self, key: usize, head: RequestHead, body: Vec<u8>) {
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.request_started_ms = None;
-        if !head.keeps_open || client.is_read_closed {
-            client.closes = true;
+        inbound.request_started_ms = None;
+        if !head.is_keep_alive || inbound.is_read_closed {
+            inbound.is_closing = true;
         }
-        match client.role {
-            Role::Caller => self.handle_call(key, head, body, None),
-            Role::Peer if head.path() == CHANGES_PATH => self.answer_news(key, head.query()),
-            Role::Peer => match head.header(FORWARD_HEADER).and_then(Plan::decode) {
-                Some(plan) => self.handle_call(key, head, body, Some(plan)),
-                None => self.answer_own(key, OwnAnswer::plain(400)),
+        match inbound.role {
+            Role::Caller => self.route_request(key, head, body, None),
+            Role::Peer if head.path() == CHANGES_PATH => self.handle_changes(key, head.query()),
+            Role::Peer => match head.header(FORWARD_HEADER).and_then(ResolvedRoute::decode) {
+                Some(route) => self.route_request(key, head, body, Some(route)),
+                None => self.respond(key, GatewayResponse::new(400)),
             },
-            Role::Directory => self.answer_directory(key, &head),
-            Role::Ready => self.answer_ready(key, &head),
-            Role::Metrics => self.answer_metrics(key),
+            Role::Directory => self.handle_directory(key, &head),
+            Role::Ready => self.handle_ready(key, &head),
+            Role::Metrics => self.handle_metrics(key),
         }
     }
 
-    /// Starts an exchange for a request of a caller, or of another host that
-    /// has already planned it.
-    fn handle_call(
+    /// Starts an exchange for a request of a caller, or for a forwarded request
+    /// whose route another host has resolved.
+    fn route_request(
         &mut self,
         key: usize,
         head: RequestHead,
         body: Vec<u8>,
-        forwarded: Option<Plan>,
+        forwarded: Option<ResolvedRoute>,
     ) {
         let now_ms = self.now_ms();
-        let call = decode_call(&head.headers);
+        let metadata = decode_request_metadata(&head.headers);
         let is_forwarded = forwarded.is_some();
-        if self.refuses_new(now_ms) {
-            return self.refuse_unplanned(key, &call.attempt, "leaving", LEAVING_RETRY_MS);
+        if self.is_refusing_new(now_ms) {
+            return self.refuse_unrouted(key, &metadata.attempt_id, "leaving", LEAVING_RETRY_MS);
         }
         let Some(configuration) = self.configuration.clone() else {
-            return self.refuse_unplanned(
+            return self.refuse_unrouted(
                 key,
-                &call.attempt,
+                &metadata.attempt_id,
                 "no configuration",
                 NOT_READY_RETRY_MS,
             );
         };
-        let plan = match forwarded {
-            Some(plan) => plan,
+        let route = match forwarded {
+            Some(route) => route,
             None => {
                 let host = head.header("host").unwrap_or_default();
-                let route = configuration.route(host, head.path());
-                let draw = self.draw();
-                let planned = route.and_then(|route| {
-                    let service = route.pick_service(draw)?;
-                    Some(Plan::new(route, service.clone()))
+                let configured = configuration.route(host, head.path());
+                let fraction = self.random_fraction();
+                let resolved = configured.and_then(|route| {
+                    let service = route.pick_service(fraction)?;
+                    Some(ResolvedRoute::new(route, service.clone()))
                 });
-                let Some(plan) = planned else {
+                let Some(route) = resolved else {
                     tracing::info!(
-                        request = %call.attempt,
+                        request = %metadata.attempt_id,
                         configuration = configuration.version,
                         outcome = "no route",
                         status = 404,
                         "request answered"
                     );
-                    return self.answer_own(key, OwnAnswer::plain(404));
+                    return self.respond(key, GatewayResponse::new(404));
                 };
-                plan
+                route
             }
         };
-        let request = CallerRequest { head, call, body };
-        self.start_exchange(key, request, plan, configuration.version, is_forwarded);
+        let request = CallerRequest {
+            head,
+            metadata,
+            body,
+        };
+        self.start_exchange(key, request, route, configuration.version, is_forwarded);
     }
 
-    fn refuse_unplanned(&mut self, key: usize, attempt: &str, cause: &str, retry_ms: u64) {
+    fn refuse_unrouted(&mut self, key: usize, attempt: &str, cause: &str, retry_ms: u64) {
         tracing::info!(
             request = attempt,
             cause,
@@ -202,12 +208,12 @@
             status = 503,
             "request answered"
         );
-        self.answer_and_close(key, OwnAnswer::refusal(retry_ms));
+        self.respond_and_close(key, GatewayResponse::refusal(retry_ms));
     }
 
-    fn answer_directory(&mut self, key: usize, head: &RequestHead) {
+    fn handle_directory(&mut self, key: usize, head: &RequestHead) {
         if head.path() != DIRECTORY_PATH {
-            return self.answer_own(key, OwnAnswer::plain(404));
+            return self.respond(key, GatewayResponse::new(404));
         }
         let query = decode_directory_query(head.query());
         let now_ms = self.now_ms();
@@ -219,188 +225,203 @@
             now_ms,
         );
         if addresses.is_empty() || !self.is_synchronised {
-            return self.answer_own(key, OwnAnswer::refusal(NOT_READY_RETRY_MS));
+            return self.respond(key, GatewayResponse::refusal(NOT_READY_RETRY_MS));
         }
         let body = encode_directory_answer(&addresses, DIRECTORY_TTL_S);
-        self.answer_with(key, OwnAnswer::plain(200), "application/json", &body);
+        self.respond_with_body(key, GatewayResponse::new(200), "application/json", &body);
     }
 
-    /// Whether the host takes requests.
+    /// Returns whether the host accepts requests.
     pub(super) fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.is_synchronised && self.leave_started_ms.is_none()
+        self.configuration.is_some() && self.is_synchronised && self.shutdown_started_ms.is_none()
     }
 
-    fn answer_ready(&mut self, key: usize, head: &RequestHead) {
+    fn handle_ready(&mut self, key: usize, head: &RequestHead) {
         let status = match head.path() == READY_PATH {
             false => 404,
             true if self.is_ready() => 200,
             true => 503,
         };
-        self.answer_own(key, OwnAnswer::plain(status));
+        self.respond(key, GatewayResponse::new(status));
     }
 
-    fn answer_news(&mut self, key: usize, query: &str) {
-        let news = self
+    fn handle_changes(&mut self, key: usize, query: &str) {
+        let changes = self
             .replica
             .as_ref()
             .map(|replica| encode_changes(replica, query));
-        match news {
+        match changes {
             Some(Ok(bytes)) => {
-                let answer = OwnAnswer::plain(200);
-                self.answer_with(key, answer, "application/octet-stream", &bytes);
+                let response = GatewayResponse::new(200);
+                self.respond_with_body(key, response, "application/octet-stream", &bytes);
             }
             Some(Err(error)) => {
-                tracing::error!(%error, "could not encode the news");
-                self.answer_own(key, OwnAnswer::plain(500));
+                tracing::error!(%error, "could not encode the store changes for another host; answered with 500");
+                self.respond(key, GatewayResponse::new(500));
             }
-            None => self.answer_own(key, OwnAnswer::plain(503)),
+            None => self.respond(key, GatewayResponse::new(503)),
         }
     }
 
-    fn answer_metrics(&mut self, key: usize) {
+    fn handle_metrics(&mut self, key: usize) {
         let text = self.telemetry.render();
-        self.answer_with(
+        self.respond_with_body(
             key,
-            OwnAnswer::plain(200),
+            GatewayResponse::new(200),
             "text/plain; version=0.0.4",
             text.as_bytes(),
         );
     }
 
-    /// Answers on a connection without an exchange.
-    pub(super) fn answer_own(&mut self, key: usize, answer: OwnAnswer) {
-        self.answer_with(key, answer, "text/plain", b"");
+    /// Writes a response without a body on a connection without an exchange.
+    pub(super) fn respond(&mut self, key: usize, response: GatewayResponse) {
+        self.respond_with_body(key, response, "text/plain", b"");
     }
 
-    fn answer_and_close(&mut self, key: usize, answer: OwnAnswer) {
-        if let Some(client) = self.clients.get_mut(key) {
-            client.closes = true;
+    fn respond_and_close(&mut self, key: usize, response: GatewayResponse) {
+        if let Some(inbound) = self.inbound.get_mut(key) {
+            inbound.is_closing = true;
         }
-        self.answer_own(key, answer);
+        self.respond(key, response);
     }
 
-    fn answer_with(&mut self, key: usize, answer: OwnAnswer, content_type: &str, body: &[u8]) {
-        let is_leaving = self.leave_started_ms.is_some();
-        let Some(client) = self.clients.get_mut(key) else {
+    fn respond_with_body(
+        &mut self,
+        key: usize,
+        response: GatewayResponse,
+        content_type: &str,
+        body: &[u8],
+    ) {
+        let is_leaving = self.shutdown_started_ms.is_some();
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.closes |= is_leaving;
-        let closes = client.closes;
-        write_own(answer, content_type, body, closes, client.wire.output());
-        self.flush_client(key);
+        inbound.is_closing |= is_leaving;
+        let is_closing = inbound.is_closing;
+        write_gateway_response(
+            response,
+            content_type,
+            body,
+            is_closing,
+            inbound.socket.output(),
+        );
+        self.flush_inbound(key);
     }
 
-    /// Writes the output; ends the connection if it is broken or done.
-    pub(super) fn flush_client(&mut self, key: usize) {
-        let Some(client) = self.clients.get_mut(key) else {
+    /// Writes pending output; closes the connection if it is broken or finished.
+    pub(super) fn flush_inbound(&mut self, key: usize) {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        if !client.wire.flush() {
-            return self.drop_client(key);
+        if !inbound.socket.flush() {
+            return self.abort_inbound(key);
         }
-        let is_written = client.wire.unwritten() == 0;
-        if client.closes && is_written && client.exchange.is_none() {
-            return self.close_client(key);
+        let is_written = inbound.socket.unwritten() == 0;
+        if inbound.is_closing && is_written && inbound.exchange.is_none() {
+            return self.close_inbound(key);
         }
-        let exchange = client.exchange;
-        if client.wire.unwritten() < MAX_OUTPUT_BYTES / 2 {
+        let exchange = inbound.exchange;
+        if inbound.socket.unwritten() < MAX_OUTPUT_BYTES / 2 {
             self.resume_reading(exchange);
         }
     }
 
-    /// The exchange on this connection has ended with a complete answer.
-    pub(super) fn client_done(&mut self, key: usize) {
+    /// Continues with the next request after the exchange on a connection has ended.
+    pub(super) fn finish_inbound_request(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(client) = self.clients.get_mut(key) else {
+        let Some(inbound) = self.inbound.get_mut(key) else {
             return;
         };
-        client.exchange = None;
-        client.active_ms = now_ms;
-        self.flush_client(key);
-        if let Some(client) = self.clients.get_mut(key)
-            && !client.closes
+        inbound.exchange = None;
+        inbound.last_active_ms = now_ms;
+        self.flush_inbound(key);
+        if let Some(inbound) = self.inbound.get_mut(key)
+            && !inbound.is_closing
         {
-            client.wire.shrink();
+            inbound.socket.shrink();
             self.read_requests(key);
         }
     }
 
-    /// Closes a connection whose output is written.
-    pub(super) fn close_client(&mut self, key: usize) {
-        let Some(mut client) = self.clients.try_remove(key) else {
+    /// Closes an inbound connection without affecting its exchange.
+    pub(super) fn close_inbound(&mut self, key: usize) {
+        let Some(mut inbound) = self.inbound.try_remove(key) else {
             return;
         };
-        // Deregistration also happens when the socket is closed.
-        let _ = self.poll.registry().deregister(&mut client.wire.stream);
+        // Closing the socket deregisters it in any case.
+        let _ = self.poll.registry().deregister(&mut inbound.socket.stream);
     }
 
-    /// Ends a connection; its caller has left or gets no complete answer.
-    pub(super) fn drop_client(&mut self, key: usize) {
-        let exchange = self.clients.get(key).and_then(|client| client.exchange);
-        self.close_client(key);
+    /// Closes a connection that failed or whose caller disconnected, and ends its
+    /// exchange.
+    pub(super) fn abort_inbound(&mut self, key: usize) {
+        let exchange = self.inbound.get(key).and_then(|inbound| inbound.exchange);
+        self.close_inbound(key);
         if let Some(exchange) = exchange {
-            self.abandon(exchange);
+            self.caller_disconnected(exchange);
         }
     }
 
-    pub(super) fn sweep_clients(&mut self, now_ms: u64) {
+    pub(super) fn sweep_inbound(&mut self, now_ms: u64) {
         let limits = self.limits();
         let mut late = Vec::new();
         let mut idle = Vec::new();
-        for (key, client) in &self.clients {
-            if client.exchange.is_some() {
+        for (key, inbound) in &self.inbound {
+            if inbound.exchange.is_some() {
                 continue;
             }
-            match client.request_started_ms {
+            match inbound.request_started_ms {
                 Some(started_ms) => {
-                    let limit_ms = match client.reading {
-                        Reading::Head => limits.head_timeout_ms,
-                        Reading::Body { .. } => limits.idle_timeout_ms,
+                    let limit_ms = match inbound.request_progress {
+                        RequestProgress::Head => limits.head_timeout_ms,
+                        RequestProgress::Body { .. } => limits.idle_timeout_ms,
                     };
                     if now_ms >= started_ms + limit_ms {
                         late.push(key);
                     }
                 }
-                None if now_ms >= client.active_ms + limits.idle_timeout_ms => idle.push(key),
+                None if now_ms >= inbound.last_active_ms + limits.idle_timeout_ms => idle.push(key),
                 None => {}
             }
         }
         for key in idle {
-            self.close_client(key);
+            self.close_inbound(key);
         }
         for key in late {
-            tracing::info!("request was not complete in time");
-            self.answer_and_close(key, OwnAnswer::plain(408));
+            tracing::info!("request timed out before it was received completely");
+            self.respond_and_close(key, GatewayResponse::new(408));
         }
     }
 }
 
-/// Reads a request from a connection's input; none if it is incomplete.
+/// Parses a request from a connection's input; none if it is incomplete.
+///
+/// # Errors
 ///
-/// The error is the status of the answer.
+/// Fails with the status code of the response.
 fn read_request(
-    client: &mut Client,
+    inbound: &mut InboundConnection,
     limits: &CallerLimits,
 ) -> Result<Option<(RequestHead, Vec<u8>)>, u16> {
-    if let Reading::Head = client.reading {
-        let parsed = parse_request(&client.wire.input, limits.max_head_bytes);
+    if let RequestProgress::Head = inbound.request_progress {
+        let parsed = parse_request(&inbound.socket.input, limits.max_head_bytes);
         let Some((head, length)) = parsed.map_err(status_of)? else {
             return Ok(None);
         };
-        client.wire.input.drain(..length);
+        inbound.socket.input.drain(..length);
         let decoder = BodyDecoder::new(head.framing);
-        if head.expects_continue && !decoder.is_done() && client.wire.input.is_empty() {
-            client.wire.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
+        if head.expects_continue && !decoder.is_done() && inbound.socket.input.is_empty() {
+            inbound.socket.queue(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        client.reading = Reading::Body {
+        inbound.request_progress = RequestProgress::Body {
             head: Box::new(head),
             decoder,
             content: Vec::new(),
         };
     }
-    let Reading::Body {
+    let RequestProgress::Body {
         decoder, content, ..
-    } = &mut client.reading
+    } = &mut inbound.request_progress
     else {
         return Ok(None);
     };
@@ -410,18 +431,18 @@
         return Err(413);
     }
     let used = decoder
-        .decode(&client.wire.input, content)
+        .decode(&inbound.socket.input, content)
         .map_err(|_| 400_u16)?;
-    client.wire.input.drain(..used);
+    inbound.socket.input.drain(..used);
     if content.len() > limits.max_body_bytes {
         return Err(413);
     }
     if !decoder.is_done() {
         return Ok(None);
     }
-    match std::mem::replace(&mut client.reading, Reading::Head) {
-        Reading::Body { head, content, .. } => Ok(Some((*head, content))),
-        Reading::Head => Ok(None),
+    match std::mem::replace(&mut inbound.request_progress, RequestProgress::Head) {
+        RequestProgress::Body { head, content, .. } => Ok(Some((*head, content))),
+        RequestProgress::Head => Ok(None),
     }
 }
 
@@ -429,6 +450,6 @@
     match error {
         HeadError::Malformed => 400,
         HeadError::TooLong => 431,
-        HeadError::Coding => 501,
+        HeadError::UnsupportedCoding => 501,
     }
 }
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -97,7 +97,7 @@
             }
             Update::StoreReachable(is_reachable) => {
                 self.hosts.set_store_reachable(is_reachable);
-                self.store_back_ms = is_reachable.then_some(now_ms);
+                self.store_recovered_ms = is_reachable.then_some(now_ms);
             }
             Update::Synchronised => self.is_synchronised = true,
             Update::Stop => self.begin_shutdown(now_ms),
@@ -112,7 +112,7 @@
     /// are alive; they are renewed shortly after the store has recovered.
     fn withdrawal_delay_ms(&self, now_ms: u64) -> u64 {
         let is_settled = self
-            .store_back_ms
+            .store_recovered_ms
             .is_some_and(|back_ms| now_ms >= back_ms + ANNOUNCEMENT_RETURN_MS);
         if is_settled {
             0
@@ -150,7 +150,7 @@
     }
 
     fn begin_shutdown(&mut self, now_ms: u64) {
-        if self.leave_started_ms.is_some() {
+        if self.shutdown_started_ms.is_some() {
             return;
         }
         tracing::info!(
@@ -158,10 +158,10 @@
             limit_ms = self.settings.shutdown_ms,
             "shutting down; waiting for requests in progress"
         );
-        self.leave_started_ms = Some(now_ms);
+        self.shutdown_started_ms = Some(now_ms);
         self.hosts.set_leaving();
         self.next_beacon_ms = 0;
-        self.next_away_beacon_ms = 0;
+        self.next_remote_beacon_ms = 0;
     }
 
     /// Sends the beacons that are due.
@@ -177,8 +177,8 @@
                 self.send_packet(&Packet::Beacon(beacon), &peers);
             }
         }
-        if now_ms >= self.next_away_beacon_ms {
-            self.next_away_beacon_ms = now_ms + REMOTE_BEACON_INTERVAL_MS;
+        if now_ms >= self.next_remote_beacon_ms {
+            self.next_remote_beacon_ms = now_ms + REMOTE_BEACON_INTERVAL_MS;
             let peers = self.one_host_of_each_region(now_ms);
             if !peers.is_empty() {
                 let beacon = self.remote_beacon(now_ms);
@@ -225,10 +225,10 @@
         // The lag ends only when this host's own revision advances: a beacon of a
         // host that lags as much says nothing about it.
         let (since_ms, _) = *self
-            .behind_since
+            .lag_since
             .filter(|(_, revision)| *revision == known)
             .get_or_insert((now_ms, known));
-        self.behind_since = Some((since_ms, known));
+        self.lag_since = Some((since_ms, known));
         if now_ms >= since_ms + LAG_BEFORE_RESYNC_MS {
             self.request_resync(beacon.host.peer_address, now_ms);
         }
@@ -240,7 +240,7 @@
         if self.is_synchronised || self.settings.seeds.is_empty() || now_ms < SEED_DELAY_MS {
             return;
         }
-        let index = self.draw_index(self.settings.seeds.len());
+        let index = self.random_index(self.settings.seeds.len());
         let seed = self.settings.seeds[index];
         if seed != self.settings.host.peer_address {
             self.request_resync(seed, now_ms);
@@ -248,13 +248,13 @@
     }
 
     fn request_resync(&mut self, peer: std::net::SocketAddr, now_ms: u64) {
-        if now_ms < self.next_ask_ms {
+        if now_ms < self.next_resync_ms {
             return;
         }
-        self.next_ask_ms = now_ms + RESYNC_INTERVAL_MS;
-        if let Some(behind) = &self.behind {
+        self.next_resync_ms = now_ms + RESYNC_INTERVAL_MS;
+        if let Some(requests) = &self.resync_requests {
             // The channel is full while a fetch is in progress; one is enough.
-            let _ = behind.try_send(peer);
+            let _ = requests.try_send(peer);
         }
     }
 
@@ -262,10 +262,10 @@
         self.beacon_sequence += 1;
         Beacon {
             host: self.settings.host.clone(),
-            started_ms: self.run_started_ms,
+            started_ms: self.instance_started_ms,
             sequence: self.beacon_sequence,
             revision: self.known_revision(),
-            is_leaving: self.leave_started_ms.is_some(),
+            is_leaving: self.shutdown_started_ms.is_some(),
             shares: Vec::new(),
             queues: Vec::new(),
             services: Vec::new(),
@@ -352,14 +352,14 @@
 
     /// Sums the loads of the region's other hosts at each endpoint, if that is due.
     pub(super) fn update_peer_loads(&mut self, now_ms: u64) {
-        if now_ms < self.next_share_update_ms {
+        if now_ms < self.next_peer_load_update_ms {
             return;
         }
-        let interval_ms = match std::mem::take(&mut self.has_new_shares) {
+        let interval_ms = match std::mem::take(&mut self.has_new_peer_loads) {
             true => LOAD_SUM_INTERVAL_MS,
             false => IDLE_LOAD_SUM_INTERVAL_MS,
         };
-        self.next_share_update_ms = now_ms + interval_ms;
+        self.next_peer_load_update_ms = now_ms + interval_ms;
         self.region_view = self.hosts.region_view(now_ms);
         let shares = self.hosts.peer_load_shares(now_ms);
         self.fleet
@@ -391,6 +391,6 @@
                 }
             }
         }
-        self.has_new_shares |= is_changed;
+        self.has_new_peer_loads |= is_changed;
     }
 }
