--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -360,8 +360,8 @@
 
     /// Remembers the parts of a prompt, which the endpoint will have prefilled at
     /// `prefilled_at_ms`.
-    pub fn record_prompt(&mut self, call: &RequestMetadata, prefilled_at_ms: u64) {
-        for part in &call.parts {
+    pub fn record_prompt(&mut self, metadata: &RequestMetadata, prefilled_at_ms: u64) {
+        for part in &metadata.parts {
             self.record_part(part.id, prefilled_at_ms);
         }
     }
@@ -416,14 +416,20 @@
     /// until requests have reserved `lifetime_tokens` more. Parts that are
     /// prefilled by `by_ms` count as well, because the endpoint prefills prompts
     /// in the order of their arrival.
-    pub fn cached_tokens(&self, call: &RequestMetadata, lifetime_tokens: u64, by_ms: u64) -> u64 {
+    pub fn cached_tokens(
+        &self,
+        metadata: &RequestMetadata,
+        lifetime_tokens: u64,
+        by_ms: u64,
+    ) -> u64 {
         let is_cached = |id: &u64| {
             self.parts.get(id).is_some_and(|known| {
                 known.prefilled_at_ms <= by_ms
                     && self.total_reserved_tokens < known.last_used_at_tokens + lifetime_tokens
             })
         };
-        call.parts
+        metadata
+            .parts
             .iter()
             .take_while(|part| is_cached(&part.id))
             .map(|part| part.tokens.0)
@@ -456,14 +462,14 @@
 }
 
 impl Work {
-    /// Returns the work of `call` at an endpoint that has cached the first
+    /// Returns the work of a request at an endpoint that has cached the first
     /// `cached_tokens` of its prompt.
-    pub fn new(call: &RequestMetadata, cached_tokens: u64) -> Self {
-        let prompt = call.prompt_tokens.0;
+    pub fn new(metadata: &RequestMetadata, cached_tokens: u64) -> Self {
+        let prompt = metadata.prompt_tokens.0;
         let uncached_tokens = prompt.saturating_sub(cached_tokens);
         Self {
             uncached_tokens,
-            reserved_tokens: uncached_tokens + call.max_output_tokens.0,
+            reserved_tokens: uncached_tokens + metadata.max_output_tokens.0,
         }
     }
 }
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -111,11 +111,11 @@
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
+pub struct EndpointQuery<'a> {
     /// Its service.
     pub service: &'a Service,
-    /// Metadata of the caller's request.
-    pub call: &'a RequestMetadata,
+    /// Metadata of the request.
+    pub metadata: &'a RequestMetadata,
     /// Endpoints that are not chosen.
     pub excluded: &'a [CompactString],
     /// The hosts of the region.
@@ -189,30 +189,30 @@
 fn stream_cost(
     endpoint: &Endpoint,
     choice: &Choice,
-    demand: &Demand<'_>,
+    query: &EndpointQuery<'_>,
     prefill_ms_per_token: f64,
     now_ms: u64,
 ) -> f64 {
-    if demand.service.engine.is_none() {
+    if query.service.engine.is_none() {
         return 0.0;
     }
     let prefill_share = endpoint
         .prefill_share(prefill_ms_per_token, now_ms)
         .min(MAX_PREFILL_SHARE);
-    let tokens = demand.call.max_output_tokens.0 as f64;
+    let tokens = query.metadata.max_output_tokens.0 as f64;
     let stream_ms = endpoint.slowness() * tokens * DECODE_STEP_MS / (1.0 - prefill_share);
-    let is_overrun = choice.first_event_ms + stream_ms > demand.time_left_ms;
+    let is_overrun = choice.first_event_ms + stream_ms > query.time_left_ms;
     let overrun_ms = if is_overrun { OVERRUN_COST_MS } else { 0.0 };
     STREAM_TIME_WEIGHT * stream_ms + overrun_ms
 }
 
 /// Returns the tokens that an endpoint is expected to have cached: the known ones
 /// or, at the endpoint that all hosts prefer, those that they probably sent there.
-fn expected_cached(known: u64, call: &RequestMetadata, is_preferred: bool) -> u64 {
+fn expected_cached(known: u64, metadata: &RequestMetadata, is_preferred: bool) -> u64 {
     if !is_preferred {
         return known;
     }
-    known.max((call.shared_tokens() as f64 * PREFERRED_CACHED_SHARE) as u64)
+    known.max((metadata.shared_tokens() as f64 * PREFERRED_CACHED_SHARE) as u64)
 }
 
 /// All endpoints that this host knows.
@@ -401,16 +401,16 @@
 
     /// Returns the endpoint with the lowest cost for a request, or none if none may be
     /// used now.
-    pub fn choose(&self, demand: &Demand<'_>, now_ms: u64) -> Option<Choice> {
-        let service = demand.service;
-        let caches = self.caches(demand, now_ms);
+    pub fn choose(&self, query: &EndpointQuery<'_>, now_ms: u64) -> Option<Choice> {
+        let service = query.service;
+        let caches = self.caches(query, now_ms);
         self.usable(&service.name, now_ms)
-            .filter(|endpoint| !demand.excluded.contains(&endpoint.id))
-            .filter(|endpoint| self.may_send_cold(endpoint, service, demand.region, now_ms))
+            .filter(|endpoint| !query.excluded.contains(&endpoint.id))
+            .filter(|endpoint| self.may_send_cold(endpoint, service, query.region, now_ms))
             .map(|endpoint| {
-                let choice = self.predict(endpoint, demand, &caches, now_ms);
+                let choice = self.predict(endpoint, query, &caches, now_ms);
                 Choice {
-                    cost_ms: self.cost(endpoint, &choice, demand, now_ms),
+                    cost_ms: self.cost(endpoint, &choice, query, now_ms),
                     ..choice
                 }
             })
@@ -421,8 +421,14 @@
     ///
     /// A wait within a share of the goal costs a caller little, while a prompt part
     /// that is prefilled again takes time from all requests of the endpoint.
-    fn cost(&self, endpoint: &Endpoint, choice: &Choice, demand: &Demand<'_>, now_ms: u64) -> f64 {
-        let service = demand.service;
+    fn cost(
+        &self,
+        endpoint: &Endpoint,
+        choice: &Choice,
+        query: &EndpointQuery<'_>,
+        now_ms: u64,
+    ) -> f64 {
+        let service = query.service;
         let slots = slots_of(endpoint, Some(service));
         let load = endpoint.load(now_ms);
         let prefill_ms_per_token = self.prefill_ms_per_token(service, load);
@@ -432,8 +438,8 @@
         let cost = PREFILL_WEIGHT * prefill_ms
             + DELAY_WEIGHT * prefill_ms * load
             + COPY_WEIGHT * copy_ms
-            + wait_cost(choice.first_event_ms, demand.goal_left_ms)
-            + stream_cost(endpoint, choice, demand, prefill_ms_per_token, now_ms)
+            + wait_cost(choice.first_event_ms, query.goal_left_ms)
+            + stream_cost(endpoint, choice, query, prefill_ms_per_token, now_ms)
             + load_ms;
         cost * (1.0 + ERROR_RATE_WEIGHT * endpoint.error_rate())
     }
@@ -450,14 +456,14 @@
     fn predict(
         &self,
         endpoint: &Endpoint,
-        demand: &Demand<'_>,
+        query: &EndpointQuery<'_>,
         caches: &Caches,
         now_ms: u64,
     ) -> Choice {
-        let service = demand.service;
+        let service = query.service;
         let cached = caches.tokens_at(&endpoint.id);
         let copied_tokens = caches.copied_to(endpoint, cached);
-        let work = Work::new(demand.call, cached + copied_tokens);
+        let work = Work::new(query.metadata, cached + copied_tokens);
         let load = endpoint.load(now_ms);
         let slots = slots_of(endpoint, Some(service));
         let run_ms = self.mean_run_ms(service);
@@ -487,9 +493,9 @@
     }
 
     /// Estimates where the start of the prompt is cached.
-    fn caches(&self, demand: &Demand<'_>, now_ms: u64) -> Caches {
-        let service = demand.service;
-        let affinity = demand.call.affinity_key();
+    fn caches(&self, query: &EndpointQuery<'_>, now_ms: u64) -> Caches {
+        let service = query.service;
+        let affinity = query.metadata.affinity_key();
         let preferred = affinity.and_then(|part| self.preferred(&service.name, part, now_ms));
         let memory_tokens = service.engine.map_or(0, |engine| engine.memory_tokens);
         let lifetime_tokens = (memory_tokens as f64 * CACHE_SHARE) as u64;
@@ -498,9 +504,9 @@
             copy_ms.is_some_and(|copy_ms| copy_ms <= INITIAL_PREFILL_MS_PER_TOKEN / 2.0);
         let mut caches = Caches::default();
         for endpoint in self.usable(&service.name, now_ms) {
-            let known = endpoint.cached_tokens(demand.call, lifetime_tokens, u64::MAX);
+            let known = endpoint.cached_tokens(query.metadata, lifetime_tokens, u64::MAX);
             let is_preferred = preferred.as_ref() == Some(&endpoint.id);
-            let tokens = expected_cached(known, demand.call, is_preferred);
+            let tokens = expected_cached(known, query.metadata, is_preferred);
             if tokens == 0 {
                 continue;
             }
@@ -509,7 +515,7 @@
                 continue;
             }
             // Only tokens that have been prefilled can be copied.
-            let prefilled = endpoint.cached_tokens(demand.call, lifetime_tokens, now_ms);
+            let prefilled = endpoint.cached_tokens(query.metadata, lifetime_tokens, now_ms);
             let best = caches.source.as_ref().map_or(0, |(_, _, tokens)| *tokens);
             if prefilled > best {
                 let address = endpoint.announcement.address;
@@ -525,30 +531,32 @@
         &self,
         region: &str,
         first_event_ms: f64,
-        demand: &Demand<'_>,
+        query: &EndpointQuery<'_>,
         now_ms: u64,
     ) -> f64 {
-        let call = demand.call;
-        let is_known = call.affinity_key().is_some_and(|part| {
+        let metadata = query.metadata;
+        let is_known = metadata.affinity_key().is_some_and(|part| {
             let sent_ms = self.remote_parts.get(&(region.into(), part));
             sent_ms.is_some_and(|sent_ms| now_ms < sent_ms + REMOTE_CACHE_LIFETIME_MS)
         });
-        let cached = if is_known { call.shared_tokens() } else { 0 };
-        let uncached_tokens = call.prompt_tokens.0.saturating_sub(cached);
+        let cached = if is_known {
+            metadata.shared_tokens()
+        } else {
+            0
+        };
+        let uncached_tokens = metadata.prompt_tokens.0.saturating_sub(cached);
         let prefill_ms =
-            uncached_tokens as f64 * self.mean_prefill_ms_per_token(demand.service, now_ms);
-        REMOTE_COST_MS
-            + PREFILL_WEIGHT * prefill_ms
-            + wait_cost(first_event_ms, demand.goal_left_ms)
+            uncached_tokens as f64 * self.mean_prefill_ms_per_token(query.service, now_ms);
+        REMOTE_COST_MS + PREFILL_WEIGHT * prefill_ms + wait_cost(first_event_ms, query.goal_left_ms)
     }
 
     /// Remembers the prompt of a request that was forwarded to another region.
-    pub fn record_remote_prompt(&mut self, region: &str, call: &RequestMetadata, now_ms: u64) {
+    pub fn record_remote_prompt(&mut self, region: &str, metadata: &RequestMetadata, now_ms: u64) {
         if self.remote_parts.len() > MAX_REMOTE_PARTS {
             self.remote_parts
                 .retain(|_, sent_ms| now_ms < *sent_ms + REMOTE_CACHE_LIFETIME_MS);
         }
-        if let Some(part) = call.affinity_key() {
+        if let Some(part) = metadata.affinity_key() {
             self.remote_parts.insert((region.into(), part), now_ms);
         }
     }
@@ -642,15 +650,15 @@
 impl Fleet {
     /// Predicts the time until an endpoint begins with a new request.
     pub fn backlog_ms(&self, endpoint: &Endpoint, service: &Service, now_ms: u64) -> f64 {
-        let demand = Demand {
+        let query = EndpointQuery {
             service,
-            call: &RequestMetadata::default(),
+            metadata: &RequestMetadata::default(),
             excluded: &[],
             region: &RegionView::default(),
             goal_left_ms: 0.0,
             time_left_ms: 0.0,
         };
-        self.predict(endpoint, &demand, &Caches::default(), now_ms)
+        self.predict(endpoint, &query, &Caches::default(), now_ms)
             .backlog_ms
     }
 
@@ -667,11 +675,12 @@
 
     /// Returns the time that an endpoint spends on a request before it can begin
     /// with the next.
-    pub fn service_ms(&self, service: &Service, call: &RequestMetadata, now_ms: u64) -> f64 {
+    pub fn service_ms(&self, service: &Service, metadata: &RequestMetadata, now_ms: u64) -> f64 {
         match service.engine {
             Some(_) => {
                 FIRST_EVENT_MS
-                    + call.prompt_tokens.0 as f64 * self.mean_prefill_ms_per_token(service, now_ms)
+                    + metadata.prompt_tokens.0 as f64
+                        * self.mean_prefill_ms_per_token(service, now_ms)
             }
             None => self.mean_run_ms(service) / 2.0,
         }
--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -153,9 +153,9 @@
     }
 
     /// Records that a request was sent to an endpoint.
-    pub fn record_send(&mut self, choice: &Choice, hash: u32, call: &RequestMetadata) {
+    pub fn record_send(&mut self, choice: &Choice, hash: u32, metadata: &RequestMetadata) {
         self.record_change(&choice.endpoint);
-        let shared = call.shared_parts().iter().map(|part| part.id);
+        let shared = metadata.shared_parts().iter().map(|part| part.id);
         self.sends.push(SentPrompt {
             endpoint: hash,
             reserved_tokens: choice.work.reserved_tokens as u32,
--- a/src/gateway/serve_placement.rs
+++ b/src/gateway/serve_placement.rs
@@ -22,7 +22,7 @@
         RefusalRecord,
         ResolvedRoute, //
     },
-    fleet::Demand,
+    fleet::EndpointQuery,
     hosts::HostInfo,
     reactor::Reactor, //
 };
@@ -131,15 +131,15 @@
         let goal_left_ms = exchange.goal_at_ms.saturating_sub(now_ms) as f64;
         let time_left_ms = exchange.deadline_ms.saturating_sub(now_ms) as f64;
         let choose = |excluded: &[CompactString]| {
-            let demand = Demand {
+            let query = EndpointQuery {
                 service: &service,
-                call: &exchange.request.metadata,
+                metadata: &exchange.request.metadata,
                 excluded,
                 region: &self.region_view,
                 goal_left_ms,
                 time_left_ms,
             };
-            self.fleet.choose(&demand, now_ms)
+            self.fleet.choose(&query, now_ms)
         };
         let skipped = [
             exchange.excluded_endpoints.as_slice(),
@@ -255,9 +255,9 @@
             + f64::from(load.backlog_ms)
             + sent_ms
             + work_ms;
-        let demand = Demand {
+        let query = EndpointQuery {
             service,
-            call: &exchange.request.metadata,
+            metadata: &exchange.request.metadata,
             excluded: &[],
             region: &self.region_view,
             goal_left_ms: exchange.goal_at_ms.saturating_sub(now_ms) as f64,
@@ -268,7 +268,7 @@
             first_event_ms,
             cost_ms: self
                 .fleet
-                .remote_cost(region, first_event_ms, &demand, now_ms),
+                .remote_cost(region, first_event_ms, &query, now_ms),
         })
     }
 
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -28,7 +28,7 @@
         fleet::{
             Choice,
             ColdBounds,
-            Demand,
+            EndpointQuery,
             Fleet, //
         },
         hosts::{
@@ -124,7 +124,7 @@
 /// Returns the choice for a request to the model.
 fn choose(
     fleet: &Fleet,
-    call: &RequestMetadata,
+    metadata: &RequestMetadata,
     hosts: &[CompactString],
     now_ms: u64,
 ) -> Option<Choice> {
@@ -132,15 +132,15 @@
         host_count: hosts.len(),
         cold_sharers: hosts.to_vec(),
     };
-    let demand = Demand {
+    let query = EndpointQuery {
         service: &model(),
-        call,
+        metadata,
         excluded: &[],
         region: &region,
         goal_left_ms: GOAL_MS,
         time_left_ms: 15_000.0,
     };
-    fleet.choose(&demand, now_ms)
+    fleet.choose(&query, now_ms)
 }
 
 /// Returns the requests that `host` may send to one cold endpoint in a second, if
@@ -285,13 +285,13 @@
 
 impl Placer {
     /// Sends a prompt and returns the endpoint and the load update about it.
-    fn send(&mut self, call: &RequestMetadata, now_ms: u64) -> (CompactString, LoadUpdate) {
-        let choice = choose(&self.fleet, call, &[], now_ms).expect("an endpoint");
+    fn send(&mut self, metadata: &RequestMetadata, now_ms: u64) -> (CompactString, LoadUpdate) {
+        let choice = choose(&self.fleet, metadata, &[], now_ms).expect("an endpoint");
         let endpoint = self.fleet.get_mut(&choice.endpoint).expect("the endpoint");
         endpoint.record_send(choice.work, now_ms);
-        endpoint.record_prompt(call, now_ms + choice.first_event_ms as u64);
+        endpoint.record_prompt(metadata, now_ms + choice.first_event_ms as u64);
         let hash = endpoint.hash;
-        self.pending.record_send(&choice, hash, call);
+        self.pending.record_send(&choice, hash, metadata);
         let changes = self.pending.take_due(1, now_ms).expect("an update is due");
         let shares = changes.endpoints.iter().map(|id| {
             let endpoint = self.fleet.get(id).expect("the endpoint");
@@ -333,9 +333,9 @@
     let mut prefill_ms: BTreeMap<CompactString, u64> = BTreeMap::new();
     for index in 0..placers.len() {
         let now_ms = 1_000 + 10 * index as u64;
-        let call = prompt(7, 100 + index as u64);
+        let metadata = prompt(7, 100 + index as u64);
 
-        let (endpoint, update) = placers[index].send(&call, now_ms);
+        let (endpoint, update) = placers[index].send(&metadata, now_ms);
 
         // An engine of the platform prefills 56.6 tokens in a millisecond.
         let prefill_tokens = update.shares[0].backlog_tokens;
@@ -361,7 +361,7 @@
         uncached_tokens: u64::from(u32::MAX),
         reserved_tokens: u64::from(u32::MAX),
     };
-    let call = RequestMetadata {
+    let metadata = RequestMetadata {
         parts: (0..9)
             .map(|number| PromptPart {
                 id: u64::MAX - number,
@@ -377,7 +377,7 @@
             work,
             ..placement_context().local.expect("a choice")
         };
-        pending.record_send(&choice, u32::MAX, &call);
+        pending.record_send(&choice, u32::MAX, &metadata);
         pending.record_block(u32::MAX, u64::from(u32::MAX));
     }
 
