--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -43,8 +43,7 @@
 /// Time to prefill a prompt token between the steps of other requests, before
 /// the speed of the service's endpoints is known.
 const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.022;
-/// Relative increase of the time per prefilled token with each request in
-/// the batch.
+/// Relative increase of the prefill time per token with each request in the batch.
 const BATCH_SLOWDOWN: f64 = 0.006;
 /// Typical time of a call to a service without engines, before any was recorded.
 const INITIAL_CALL_MS: f64 = 30.0;
--- a/src/gateway/state_updates.rs
+++ b/src/gateway/state_updates.rs
@@ -43,7 +43,7 @@
 const SEED_DELAY_MS: u64 = 1_000;
 /// Time within which announcements that expired during an outage of the store are
 /// renewed: the platform's two seconds and the network latency.
-const ANNOUNCEMENT_RETURN_MS: u64 = 2_200;
+const ANNOUNCEMENT_RENEWAL_MS: u64 = 2_200;
 /// Interval of beacons to one host of each other region.
 const REMOTE_BEACON_INTERVAL_MS: u64 = 400;
 
@@ -113,11 +113,11 @@
     fn withdrawal_delay_ms(&self, now_ms: u64) -> u64 {
         let is_settled = self
             .store_recovered_ms
-            .is_some_and(|back_ms| now_ms >= back_ms + ANNOUNCEMENT_RETURN_MS);
+            .is_some_and(|recovered_ms| now_ms >= recovered_ms + ANNOUNCEMENT_RENEWAL_MS);
         if is_settled {
             0
         } else {
-            ANNOUNCEMENT_RETURN_MS
+            ANNOUNCEMENT_RENEWAL_MS
         }
     }
 
@@ -222,8 +222,8 @@
         if beacon.revision <= known {
             return;
         }
-        // The lag ends only when this host's own revision advances: a beacon of a
-        // host that lags as much says nothing about it.
+        // Other hosts may lag as much, so the lag ends only when this host's own
+        // revision advances.
         let (since_ms, _) = *self
             .lag_since
             .filter(|(_, revision)| *revision == known)
