--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -128,7 +128,7 @@
 }
 
 impl Pools {
-    /// Locks the pools. A poisoned lock is used on: a panic while it was held leaves
+    /// Locks the pools. A poisoned lock is still used: a panic while it was held leaves
     /// at worst a wrong count.
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, HostPool>> {
         self.by_address
@@ -212,7 +212,7 @@
     /// Takes an idle connection from the pool or opens one, without sending any part
     /// of a request.
     ///
-    /// Fails if `host` is given and another host answers at `address`, if all
+    /// Fails if `host` is given and `address` belongs to another host, if all
     /// connections are in use, or if connecting or the handshake fails.
     pub fn acquire(
         &self,
@@ -328,8 +328,8 @@
             });
         }
         let sent = unsent.mark_sent();
-        for piece in body.chunks(MAX_PAYLOAD_BYTES) {
-            if let Err(failed) = self.link.write_frame(&Frame::RequestBody, piece, deadline) {
+        for chunk in body.chunks(MAX_PAYLOAD_BYTES) {
+            if let Err(failed) = self.link.write_frame(&Frame::RequestBody, chunk, deadline) {
                 let error = failed.error;
                 return Err(SendError::PartlySent { sent, error });
             }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -94,12 +94,12 @@
     /// The other host uses another cluster key.
     #[error("the other host did not prove that it holds the cluster key")]
     WrongKey,
-    /// Another host answers at the address.
-    #[error("host {found} answers: expected host {expected}")]
+    /// The host at the address is not the expected one.
+    #[error("connected to host {found}: expected host {expected}")]
     WrongHost {
         /// The host that should be at the address.
         expected: HostId,
-        /// The host that answers.
+        /// The host at the address.
         found: HostId,
     },
     /// A frame belongs to another exchange than the current one.
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -72,7 +72,7 @@
     /// Exchanges that ended with a final frame.
     pub completed_exchanges: u64,
     /// Connections that were closed because of an error or during an exchange.
-    pub broken_connections: u64,
+    pub failed_connections: u64,
 }
 
 #[derive(Debug, Default)]
@@ -81,7 +81,7 @@
     refused_connections: AtomicU64,
     failed_handshakes: AtomicU64,
     completed_exchanges: AtomicU64,
-    broken_connections: AtomicU64,
+    failed_connections: AtomicU64,
 }
 
 fn increment(counter: &AtomicU64) {
@@ -126,7 +126,7 @@
             refused_connections: counters.refused_connections.load(Ordering::Relaxed),
             failed_handshakes: counters.failed_handshakes.load(Ordering::Relaxed),
             completed_exchanges: counters.completed_exchanges.load(Ordering::Relaxed),
-            broken_connections: counters.broken_connections.load(Ordering::Relaxed),
+            failed_connections: counters.failed_connections.load(Ordering::Relaxed),
         }
     }
 
@@ -201,7 +201,7 @@
             return;
         };
         if let Err(error) = self.serve_link(&mut link, handler) {
-            increment(&self.counters.broken_connections);
+            increment(&self.counters.failed_connections);
             tracing::debug!(%error, host = %link.peer().host, "connection from another host failed; closing it");
         }
     }
@@ -267,7 +267,7 @@
     }
 
     fn connections_by_host(&self) -> MutexGuard<'_, HashMap<HostId, usize>> {
-        // A poisoned lock is used on: a panic while it was held leaves at worst a
+        // A poisoned lock is still used: a panic while it was held leaves at worst a
         // wrong count.
         self.connections_by_host
             .lock()
@@ -384,9 +384,7 @@
                     return Err(LinkError::Closed);
                 }
                 _ => {
-                    return Err(LinkError::Unexpected(
-                        "expected a frame of the request body",
-                    ));
+                    return Err(LinkError::Unexpected("expected a body frame"));
                 }
             }
             let bytes = message.payload.len() as u64;
@@ -423,10 +421,10 @@
         if self.is_ended || frame.is_final() || frame.is_request() {
             return Err(LinkError::Unexpected("the frame is not part of a response"));
         }
-        self.write_in_pieces(frame, bytes, deadline)
+        self.write_in_chunks(frame, bytes, deadline)
     }
 
-    fn write_in_pieces(
+    fn write_in_chunks(
         &mut self,
         frame: &Frame,
         bytes: &[u8],
@@ -434,8 +432,8 @@
     ) -> Result<(), LinkError> {
         let mut rest = bytes;
         while rest.len() > MAX_PAYLOAD_BYTES {
-            let (piece, later) = rest.split_at(MAX_PAYLOAD_BYTES);
-            self.write(&Frame::ResponseBody, piece, deadline)?;
+            let (chunk, later) = rest.split_at(MAX_PAYLOAD_BYTES);
+            self.write(&Frame::ResponseBody, chunk, deadline)?;
             rest = later;
         }
         self.write(frame, rest, deadline)
@@ -459,7 +457,7 @@
                 "the frame is not final, or the exchange has ended",
             ));
         }
-        self.write_in_pieces(frame, bytes, deadline)?;
+        self.write_in_chunks(frame, bytes, deadline)?;
         self.is_ended = true;
         Ok(())
     }
--- a/src/peer/socket.rs
+++ b/src/peer/socket.rs
@@ -131,7 +131,7 @@
 }
 
 impl Shared {
-    /// Locks the gossip state. A poisoned lock is used on: a panic while it was held
+    /// Locks the gossip state. A poisoned lock is still used: a panic while it was held
     /// leaves records that are at worst stale.
     fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(PoisonError::into_inner)
@@ -221,7 +221,7 @@
         self.shared.is_stopping.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
-                tracing::error!("a gossip thread panicked");
+                tracing::error!("a gossip thread had panicked before gossip was stopped");
             }
         }
     }
--- a/src/sample.rs
+++ b/src/sample.rs
@@ -109,7 +109,7 @@
         self.gossip_dropped
             .count(metrics, Metric::GossipDropped, dropped);
         self.peer_broken
-            .count(metrics, Metric::PeerBroken, server.broken_connections);
+            .count(metrics, Metric::PeerBroken, server.failed_connections);
         self.peer_received
             .count(metrics, Metric::PeerExchanges, server.completed_exchanges);
     }
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -472,8 +472,8 @@
     }
     net.partitioned_regions = Some((region("stred"), region("zapad")));
     net.run(2_000);
-    // A host of the first region gets revision 6. Each host that learns of a higher
-    // revision fetches it, unless the partition separates it from the source.
+    // A host of the first region gets revision 6; each host that learns of a
+    // higher revision fetches it, unless the partition separates it from the source.
     net.set_revision(0, 6);
     let start_ms = net.now_ms;
     for node in &mut net.nodes {
--- a/tests/peer_link.rs
+++ b/tests/peer_link.rs
@@ -172,9 +172,9 @@
     let client = client();
 
     for _ in 0..3 {
-        let answer = call(&client, fixture.address).expect("answered");
-        assert_eq!(answer.frame, end());
-        assert_eq!(answer.payload, b"2500000 bytes");
+        let response = call(&client, fixture.address).expect("answered");
+        assert_eq!(response.frame, end());
+        assert_eq!(response.payload, b"2500000 bytes");
     }
 
     assert_eq!(client.idle_connections(fixture.address), 1);
@@ -195,11 +195,11 @@
     let started = ready
         .expect("ready")
         .send(Unsent::new(), &request, &[], soon());
-    let answer = started.expect("sent").collect(BODY_BYTES, soon());
+    let response = started.expect("sent").collect(BODY_BYTES, soon());
 
-    let answer = answer.expect("answered");
-    assert_eq!(answer.frame, Frame::Changes);
-    assert_eq!(answer.payload, vec![9; BODY_BYTES]);
+    let response = response.expect("answered");
+    assert_eq!(response.frame, Frame::Changes);
+    assert_eq!(response.payload, vec![9; BODY_BYTES]);
 }
 
 /// Fault that a relay injects into a connection.
@@ -283,8 +283,8 @@
                     Ok(mut exchange) => {
                         // After the last body frame, the response may arrive
                         // before the cut.
-                        let answer = exchange.collect(100, soon());
-                        assert!(answer.is_err() || frames == 6, "after {frames}");
+                        let response = exchange.collect(100, soon());
+                        assert!(response.is_err() || frames == 6, "after {frames}");
                         true
                     }
                 }
@@ -374,7 +374,7 @@
         link.read_exchange_frame(soon()),
         Err(LinkError::Closed)
     ));
-    assert!(fixture.wait_for(|server| server.counts().broken_connections == 1));
+    assert!(fixture.wait_for(|server| server.counts().failed_connections == 1));
 }
 
 #[test]
@@ -447,7 +447,7 @@
     let result = call(&client(), fixture.address);
 
     assert!(result.is_err(), "{result:?}");
-    assert!(fixture.wait_for(|server| server.counts().broken_connections == 1));
+    assert!(fixture.wait_for(|server| server.counts().failed_connections == 1));
 }
 
 #[test]
