--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -17,8 +17,8 @@
     configuration::Service,
     load_updates::SentPrompt,
     request::{
-        Call,
-        EndpointLoad, //
+        EndpointLoad,
+        RequestMetadata, //
     }, //
 };
 
@@ -360,7 +360,7 @@
 
     /// Remembers the parts of a prompt, which the endpoint will have prefilled at
     /// `prefilled_at_ms`.
-    pub fn record_prompt(&mut self, call: &Call, prefilled_at_ms: u64) {
+    pub fn record_prompt(&mut self, call: &RequestMetadata, prefilled_at_ms: u64) {
         for part in &call.parts {
             self.record_part(part.id, prefilled_at_ms);
         }
@@ -416,7 +416,7 @@
     /// until requests have reserved `lifetime_tokens` more. Parts that are
     /// prefilled by `by_ms` count as well, because the endpoint prefills prompts
     /// in the order of their arrival.
-    pub fn cached_tokens(&self, call: &Call, lifetime_tokens: u64, by_ms: u64) -> u64 {
+    pub fn cached_tokens(&self, call: &RequestMetadata, lifetime_tokens: u64, by_ms: u64) -> u64 {
         let is_cached = |id: &u64| {
             self.parts.get(id).is_some_and(|known| {
                 known.prefilled_at_ms <= by_ms
@@ -458,12 +458,12 @@
 impl Work {
     /// Returns the work of `call` at an endpoint that has cached the first
     /// `cached_tokens` of its prompt.
-    pub fn new(call: &Call, cached_tokens: u64) -> Self {
-        let prompt = call.prompt.0;
+    pub fn new(call: &RequestMetadata, cached_tokens: u64) -> Self {
+        let prompt = call.prompt_tokens.0;
         let uncached_tokens = prompt.saturating_sub(cached_tokens);
         Self {
             uncached_tokens,
-            reserved_tokens: uncached_tokens + call.max_output.0,
+            reserved_tokens: uncached_tokens + call.max_output_tokens.0,
         }
     }
 }
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,26 +1,26 @@
-//! Boundaries of server-sent events.
+//! Splitting of streams at server-sent event boundaries.
 //!
-//! An endpoint can stop in the middle of an event. Only whole events are passed
-//! on, so that another endpoint can continue a stream after the last one.
+//! An endpoint can stop in the middle of an event. Only complete events are
+//! relayed, so that another endpoint can continue a stream after the last one.
 
 use compact_str::CompactString;
 use memchr::memmem;
 
-/// Splits a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events and records the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
     last_id: Option<CompactString>,
-    whole_count: u64,
+    complete_count: u64,
 }
 
 impl EventSplitter {
-    /// A splitter at the start of a stream.
+    /// Returns a splitter at the start of a stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes content and appends the events that it completes to `out`.
+    /// Adds content and appends the events that it completes to `out`.
     pub fn push(&mut self, content: &[u8], out: &mut Vec<u8>) {
         self.partial.extend_from_slice(content);
         let mut start = 0;
@@ -28,30 +28,30 @@
             let end = start + found + 2;
             let id = event_id(&self.partial[start..end]);
             self.last_id = id.or(self.last_id.take());
-            self.whole_count += 1;
+            self.complete_count += 1;
             start = end;
         }
         out.extend(self.partial.drain(..start));
     }
 
-    /// Drops an event that has not ended; the stream goes on after the last whole one.
+    /// Drops an incomplete event; the stream continues after the last complete one.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Content after the last whole event.
+    /// Returns the content after the last complete event.
     pub fn partial(&self) -> &[u8] {
         &self.partial
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&CompactString> {
         self.last_id.as_ref()
     }
 
-    /// Number of whole events.
-    pub fn whole_count(&self) -> u64 {
-        self.whole_count
+    /// Returns the number of complete events.
+    pub fn complete_count(&self) -> u64 {
+        self.complete_count
     }
 }
 
--- a/src/gateway/load_updates.rs
+++ b/src/gateway/load_updates.rs
@@ -19,7 +19,7 @@
     fleet::Choice,
     hosts::Beacon,
     reactor::Reactor,
-    request::Call, //
+    request::RequestMetadata, //
 };
 
 /// Interval of updates after a send, per other host of the region, so that a host
@@ -153,7 +153,7 @@
     }
 
     /// Records that a request was sent to an endpoint.
-    pub fn record_send(&mut self, choice: &Choice, hash: u32, call: &Call) {
+    pub fn record_send(&mut self, choice: &Choice, hash: u32, call: &RequestMetadata) {
         self.record_change(&choice.endpoint);
         let shared = call.shared_parts().iter().map(|part| part.id);
         self.sends.push(SentPrompt {
@@ -224,7 +224,7 @@
         self.beacon_sequence += 1;
         let update = LoadUpdate {
             host: self.settings.host.name.clone(),
-            started_ms: self.run_started_ms,
+            started_ms: self.instance_started_ms,
             sequence: self.beacon_sequence,
             shares,
             sends: changes.sends,
--- a/src/gateway/serve_exchange.rs
+++ b/src/gateway/serve_placement.rs
@@ -1,7 +1,7 @@
-//! Where a request goes: to an endpoint, to another region, or into the queue.
+//! Placement of requests: on an endpoint, in another region, or in the queue.
 //!
-//! The decision itself is [`place`]; here its inputs are gathered and its outcome
-//! is carried out.
+//! [`place`] makes the decision; this module gathers its inputs and carries out
+//! the result.
 
 use std::rc::Rc;
 
@@ -19,90 +19,93 @@
     exchange::{
         CallerRequest,
         Exchange,
-        Plan,
-        Refused, //
+        RefusalRecord,
+        ResolvedRoute, //
     },
     fleet::Demand,
     hosts::HostInfo,
     reactor::Reactor, //
 };
 
-/// Time limit of a request that states none.
+/// Time limit of requests that specify none.
 const DEFAULT_TIME_LIMIT_MS: u64 = 30_000;
-/// Round trip to another region before one was measured.
+/// Assumed round trip to another region before it has been measured.
 const DEFAULT_ROUND_TRIP_MS: f64 = 150.0;
-/// Age beyond which another region's load is not believed: several beacons.
-const MAX_AWAY_AGE_MS: u64 = 2_500;
-/// Placements tried in one pass over the waiting requests of a service.
+/// Age beyond which another region's load is ignored; several beacon intervals.
+const MAX_REMOTE_LOAD_AGE_MS: u64 = 2_500;
+/// Maximum placements per service in one pass over the waiting requests.
 const MAX_PLACEMENTS: usize = 24;
 
 impl Reactor {
     pub(super) fn start_exchange(
         &mut self,
-        client: usize,
+        inbound: usize,
         request: CallerRequest,
-        plan: Plan,
+        route: ResolvedRoute,
         configuration_version: u64,
         is_forwarded: bool,
     ) {
         let now_ms = self.now_ms();
-        let time_limit_ms = request.call.time_limit_ms.unwrap_or(DEFAULT_TIME_LIMIT_MS);
-        self.budget.record_request(&plan.service, now_ms);
+        let time_limit_ms = request
+            .metadata
+            .time_limit_ms
+            .unwrap_or(DEFAULT_TIME_LIMIT_MS);
+        self.retry_budget.record_request(&route.service, now_ms);
         self.next_serial += 1;
         let exchange = Exchange {
             serial: self.next_serial,
-            client: Some(client),
+            inbound: Some(inbound),
             is_forwarded,
             request: Rc::new(request),
             configuration_version,
             arrived_ms: now_ms,
-            goal_at_ms: now_ms + plan.goal_ms,
-            deadline_ms: now_ms + time_limit_ms.min(plan.timeout_ms),
-            plan,
+            goal_at_ms: now_ms + route.goal_ms,
+            deadline_ms: now_ms + time_limit_ms.min(route.timeout_ms),
+            route,
             run_count: 0,
-            excluded: Vec::new(),
-            avoided: Vec::new(),
+            excluded_endpoints: Vec::new(),
+            avoided_endpoints: Vec::new(),
             excluded_regions: Vec::new(),
             is_waiting: false,
-            sending: None,
-            placed: None,
-            refused: None,
+            dispatch: None,
+            placement: None,
+            refusal: None,
             first_event_at_ms: None,
-            has_reply_begun: false,
+            has_response_begun: false,
             events: EventSplitter::new(),
-            held: Vec::new(),
+            buffered: Vec::new(),
         };
         let key = self.exchanges.insert(exchange);
-        if let Some(client) = self.clients.get_mut(client) {
-            client.exchange = Some(key);
+        if let Some(inbound) = self.inbound.get_mut(inbound) {
+            inbound.exchange = Some(key);
         }
         self.place_exchange(key);
     }
 
-    /// Decides where a request goes now.
+    /// Decides where a request goes and sends, queues or refuses it.
     pub(super) fn place_exchange(&mut self, key: usize) {
         let now_ms = self.now_ms();
-        let Some(situation) = self.situation(key, now_ms) else {
+        let Some(context) = self.placement_context(key, now_ms) else {
             return;
         };
         let Some(exchange) = self.exchanges.get_mut(key) else {
             return;
         };
-        let inputs = Refused {
-            here_ms: situation
+        let inputs = RefusalRecord {
+            local_ms: context
                 .local
                 .as_ref()
-                .map(|choice| (choice.first_event_ms + situation.queue_ms) as u64),
-            queue_ms: situation.queue_ms as u64,
-            away_ms: situation
+                .map(|choice| (choice.first_event_ms + context.queue_ms) as u64),
+            queue_ms: context.queue_ms as u64,
+            remote_ms: context
                 .remote
                 .as_ref()
                 .map(|offer| offer.first_event_ms as u64),
             retry_ms: 0,
         };
-        match place(situation) {
+        match place(context) {
             Placement::Send(choice) => self.send_to_endpoint(key, choice),
-            Placement::Forward(offer) => self.send_away(key, offer),
+            Placement::Forward(offer) => self.send_to_region(key, offer),
             Placement::Wait => {
                 if !exchange.is_waiting {
                     exchange.is_waiting = true;
@@ -110,23 +113,27 @@
                 }
             }
             Placement::Refuse(retry_ms) => {
-                exchange.refused = Some(Refused { retry_ms, ..inputs });
+                exchange.refusal = Some(RefusalRecord { retry_ms, ..inputs });
                 self.refuse(key, "no capacity in time", retry_ms);
             }
         }
     }
 
-    pub(super) fn situation(&mut self, key: usize, now_ms: u64) -> Option<PlacementContext> {
+    pub(super) fn placement_context(
+        &mut self,
+        key: usize,
+        now_ms: u64,
+    ) -> Option<PlacementContext> {
         let exchange = self.exchanges.get(key)?;
-        let plan = &exchange.plan;
-        let service = self.service(&plan.service);
-        let is_home = plan.allows_region(&self.settings.host.region);
+        let route = &exchange.route;
+        let service = self.service(&route.service);
+        let is_home = route.allows_region(&self.settings.host.region);
         let goal_left_ms = exchange.goal_at_ms.saturating_sub(now_ms) as f64;
         let time_left_ms = exchange.deadline_ms.saturating_sub(now_ms) as f64;
         let choose = |excluded: &[CompactString]| {
             let demand = Demand {
                 service: &service,
-                call: &exchange.request.call,
+                call: &exchange.request.metadata,
                 excluded,
                 region: &self.region_view,
                 goal_left_ms,
@@ -134,13 +141,17 @@
             };
             self.fleet.choose(&demand, now_ms)
         };
-        let unwanted = [exchange.excluded.as_slice(), exchange.avoided.as_slice()].concat();
-        let remote = self.away_offer(exchange, &service, now_ms);
-        let untried = is_home.then(|| choose(&unwanted)).flatten();
+        let skipped = [
+            exchange.excluded_endpoints.as_slice(),
+            exchange.avoided_endpoints.as_slice(),
+        ]
+        .concat();
+        let remote = self.best_remote_offer(exchange, &service, now_ms);
+        let untried = is_home.then(|| choose(&skipped)).flatten();
         // An endpoint that failed the request is only tried again if no other
         // region can be.
         let local = match untried {
-            None if is_home && remote.is_none() => choose(&exchange.excluded),
+            None if is_home && remote.is_none() => choose(&exchange.excluded_endpoints),
             untried => untried,
         };
         let queue_ms = self.queue_ms(&service, Some(key), now_ms);
@@ -149,13 +160,13 @@
             queue_ms,
             remote,
             goal_left_ms,
-            goal_ms: plan.goal_ms as f64,
+            goal_ms: route.goal_ms as f64,
             time_left_ms,
             is_waiting: exchange.is_waiting,
         })
     }
 
-    /// The service with this name, or one of which only the name is known.
+    /// Returns the service with this name, or one with default parameters.
     pub(super) fn service(&self, name: &str) -> Service {
         let known = self
             .configuration
@@ -169,19 +180,19 @@
         })
     }
 
-    /// Time that the requests take which wait here and come before `key`, or
-    /// all that wait if there is none.
+    /// Returns the predicted time that the queue ahead of `key` takes, or the
+    /// entire queue if `key` is none.
     pub(super) fn queue_ms(&self, service: &Service, key: Option<usize>, now_ms: u64) -> f64 {
         let own_ms = self.own_queue_ms(service, key, now_ms);
-        // The other hosts of the region have queues in front of the same
-        // endpoints, and their requests may be more or less urgent.
+        // The other hosts of the region queue requests for the same endpoints,
+        // which may be more or less urgent.
         let others_ms = self.hosts.peer_queue_ms(&service.name, now_ms) / 2.0;
         let endpoints = self.fleet.usable(&service.name, now_ms).count().max(1) as f64;
         (own_ms + others_ms) / endpoints
     }
 
-    /// Time that one endpoint would need for the requests that wait here and
-    /// come before `key`, or for all that wait if there is none.
+    /// Returns the time that a single endpoint would need for the queue of this
+    /// host ahead of `key`, or for the entire queue if `key` is none.
     pub(super) fn own_queue_ms(&self, service: &Service, key: Option<usize>, now_ms: u64) -> f64 {
         let own_rank = key.and_then(|key| self.exchanges.get(key)).map(rank);
         let ahead = self
@@ -189,14 +200,17 @@
             .iter()
             .filter(|other| Some(**other) != key)
             .filter_map(|other| self.exchanges.get(*other))
-            .filter(|other| other.plan.service == service.name)
+            .filter(|other| other.route.service == service.name)
             .filter(|other| own_rank.is_none_or(|own| rank(other) <= own));
         ahead
-            .map(|other| self.fleet.service_ms(service, &other.request.call, now_ms))
+            .map(|other| {
+                self.fleet
+                    .service_ms(service, &other.request.metadata, now_ms)
+            })
             .sum()
     }
 
-    pub(super) fn away_offer(
+    pub(super) fn best_remote_offer(
         &self,
         exchange: &Exchange,
         service: &Service,
@@ -211,14 +225,14 @@
         regions.dedup();
         regions
             .into_iter()
-            .filter(|region| *region != own && exchange.plan.allows_region(region))
+            .filter(|region| *region != own && exchange.route.allows_region(region))
             .filter(|region| !exchange.excluded_regions.contains(region))
             .filter(|region| self.hosts.live(now_ms).any(|host| host.region == **region))
-            .filter_map(|region| self.offer_of(region, exchange, service, now_ms))
+            .filter_map(|region| self.remote_offer(region, exchange, service, now_ms))
             .min_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms))
     }
 
-    pub(super) fn offer_of(
+    pub(super) fn remote_offer(
         &self,
         region: &CompactString,
         exchange: &Exchange,
@@ -226,14 +240,14 @@
         now_ms: u64,
     ) -> Option<RemoteOffer> {
         let (load, age_ms) = self.hosts.remote_load(region, &service.name, now_ms)?;
-        if age_ms > MAX_AWAY_AGE_MS || load.endpoint_count == 0 {
+        if age_ms > MAX_REMOTE_LOAD_AGE_MS || load.endpoint_count == 0 {
             return None;
         }
         let round_trip_ms = self.round_trip_ms.get(region).copied();
         let work_ms = self
             .fleet
-            .service_ms(service, &exchange.request.call, now_ms);
-        // The other hosts of this region have probably sent as much.
+            .service_ms(service, &exchange.request.metadata, now_ms);
+        // Assumes that the other hosts of this region have sent as much.
         let all_sent_ms =
             self.hosts.remote_sent_ms(region, &service.name) * self.region_view.host_count as f64;
         let sent_ms = all_sent_ms / f64::from(load.endpoint_count);
@@ -243,7 +257,7 @@
             + work_ms;
         let demand = Demand {
             service,
-            call: &exchange.request.call,
+            call: &exchange.request.metadata,
             excluded: &[],
             region: &self.region_view,
             goal_left_ms: exchange.goal_at_ms.saturating_sub(now_ms) as f64,
@@ -258,7 +272,7 @@
         })
     }
 
-    /// A live host of a region.
+    /// Returns a random live host of a region.
     pub(super) fn random_host(&mut self, region: &str, now_ms: u64) -> Option<HostInfo> {
         let hosts: Vec<HostInfo> = self
             .hosts
@@ -266,11 +280,11 @@
             .filter(|host| host.region == region)
             .cloned()
             .collect();
-        let index = self.draw_index(hosts.len());
+        let index = self.random_index(hosts.len());
         hosts.get(index).cloned()
     }
 
-    /// Places requests that wait, the most urgent first.
+    /// Places waiting requests, the most urgent first.
     pub(super) fn serve_waiting(&mut self, _now_ms: u64) {
         if self.waiting.is_empty() {
             return;
@@ -283,7 +297,7 @@
             let Some(exchange) = self.exchanges.get(key) else {
                 continue;
             };
-            let service = exchange.plan.service.clone();
+            let service = exchange.route.service.clone();
             let count = match tried.iter_mut().find(|(name, _)| *name == service) {
                 Some((_, count)) => count,
                 None => {
@@ -299,8 +313,8 @@
     }
 }
 
-/// Order of waiting requests: by rank, then by arrival.
+/// Sort key of waiting requests: priority, then arrival.
 fn rank(exchange: &Exchange) -> (u8, u64, u64) {
-    let priority = exchange.plan.priority.unwrap_or(0);
+    let priority = exchange.route.priority.unwrap_or(0);
     (priority, exchange.arrived_ms, exchange.serial)
 }
--- /dev/null
+++ b/src/gateway/serve_response.rs
@@ -0,0 +1,327 @@
+//! Relaying of responses from endpoints and other regions.
+//!
+//! Events of a stream are relayed as soon as they are complete. Any other
+//! response is buffered until it is complete, so that the request can still be
+//! retried if the response is interrupted.
+
+use super::{
+    body::{
+        write_chunk,
+        write_last_chunk, //
+    },
+    connection::ResponseProgress,
+    endpoint::Failure,
+    exchange::{
+        Destination,
+        Dispatch, //
+    },
+    head::ResponseHead,
+    reactor::Reactor,
+    response::{
+        BodyFrame,
+        GatewayResponse,
+        NOT_RUN_HEADER,
+        write_response_head, //
+    },
+    serve_completion::{
+        MAX_EXCLUDED_ENDPOINTS,
+        UNREACHABLE_RETRY_MS, //
+    }, //
+};
+use crate::platform::headers::{
+    ResponseMetadata,
+    decode_response_metadata, //
+};
+
+/// Size up to which responses are buffered until they are complete, so that the
+/// request can still be retried.
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
+
+impl Reactor {
+    /// Handles the head of a response.
+    pub(super) fn on_response_head(
+        &mut self,
+        key: usize,
+        head: &ResponseHead,
+        metadata: &ResponseMetadata,
+    ) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        if let Some(Dispatch {
+            destination: Destination::Endpoint(choice),
+            ..
+        }) = &exchange.dispatch
+            && let Some(endpoint) = self.fleet.get_mut(&choice.endpoint)
+        {
+            if let Some(load) = metadata.load {
+                endpoint.record_reported_load(load, now_ms);
+            }
+            if let Some(left_ms) = metadata.cold_left_ms {
+                endpoint.set_cold(left_ms, now_ms);
+            }
+        }
+        let is_success = is_success(head, metadata);
+        if let Some(dispatch) = &mut exchange.dispatch {
+            dispatch.is_success = is_success;
+            dispatch.progress_ms = now_ms;
+        }
+        if !exchange.route.is_stream || !is_success {
+            exchange.buffered.clear();
+        }
+    }
+
+    /// Handles a piece of a response body.
+    pub(super) fn on_response_body(&mut self, key: usize, content: &[u8]) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let Some(dispatch) = &mut exchange.dispatch else {
+            return;
+        };
+        dispatch.progress_ms = now_ms;
+        let is_success = dispatch.is_success;
+        let Some(upstream) = self.upstreams.get(dispatch.upstream) else {
+            return;
+        };
+        let ResponseProgress::Body { head, .. } = &upstream.response_progress else {
+            return;
+        };
+        if !exchange.route.is_stream || !is_success {
+            exchange.buffered.extend_from_slice(content);
+            if exchange.buffered.len() > MAX_BUFFERED_BYTES && is_success {
+                let head = head.clone();
+                self.write_head_once(key, &head);
+                let exchange = &mut self.exchanges[key];
+                let buffered = std::mem::take(&mut exchange.buffered);
+                self.write_body_chunk(key, &buffered);
+            }
+            return;
+        }
+        let mut complete_events = Vec::new();
+        exchange.events.push(content, &mut complete_events);
+        if complete_events.is_empty() {
+            return;
+        }
+        let head = head.clone();
+        self.record_first_event(key, now_ms);
+        self.write_head_once(key, &head);
+        self.write_body_chunk(key, &complete_events);
+    }
+
+    /// Records the first event, or the response, of the current dispatch.
+    pub(super) fn record_first_event(&mut self, key: usize, now_ms: u64) {
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let Some(dispatch) = &mut exchange.dispatch else {
+            return;
+        };
+        if dispatch.has_begun {
+            return;
+        }
+        dispatch.has_begun = true;
+        exchange.first_event_at_ms.get_or_insert(now_ms);
+        let actual_ms = now_ms.saturating_sub(dispatch.sent_ms) as f64;
+        self.telemetry
+            .observe_first_event(now_ms.saturating_sub(exchange.arrived_ms));
+        if let Destination::Endpoint(choice) = &dispatch.destination {
+            let choice = choice.clone();
+            let service = exchange.route.service.clone();
+            if let Some(endpoint) = self.fleet.get_mut(&choice.endpoint) {
+                endpoint.record_first_event(choice.work);
+                self.pending_update.record_change(&choice.endpoint);
+                endpoint.record_success(actual_ms, choice.first_event_ms);
+            }
+            if exchange.route.is_stream {
+                self.fleet
+                    .record_first_event_time(&service, &choice, actual_ms);
+            }
+        }
+    }
+
+    /// Writes the response head to the caller unless it has been written.
+    pub(super) fn write_head_once(&mut self, key: usize, head: &ResponseHead) {
+        let is_leaving = self.shutdown_started_ms.is_some();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        if exchange.has_response_begun {
+            return;
+        }
+        exchange.has_response_begun = true;
+        let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
+        else {
+            return;
+        };
+        inbound.is_closing |= is_leaving;
+        let is_closing = inbound.is_closing;
+        write_response_head(
+            head,
+            BodyFrame::Chunked,
+            is_closing,
+            inbound.socket.output(),
+        );
+    }
+
+    pub(super) fn write_body_chunk(&mut self, key: usize, content: &[u8]) {
+        let inbound = self
+            .exchanges
+            .get(key)
+            .and_then(|exchange| exchange.inbound);
+        let Some(inbound_key) = inbound else {
+            return;
+        };
+        if let Some(inbound) = self.inbound.get_mut(inbound_key) {
+            write_chunk(content, inbound.socket.output());
+        }
+        self.flush_inbound(inbound_key);
+    }
+
+    /// Handles the end of a complete response.
+    pub(super) fn on_response_end(&mut self, key: usize, head: &ResponseHead) {
+        let now_ms = self.now_ms();
+        let metadata = decode_response_metadata(head);
+        let is_success = is_success(head, &metadata);
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let is_not_run = metadata.is_not_run || head.header(NOT_RUN_HEADER).is_some();
+        if is_not_run && !is_success {
+            let failure = match metadata.is_other_endpoint {
+                true => Failure::Replaced,
+                false => Failure::Shed,
+            };
+            return self.handle_not_run(key, head, failure);
+        }
+        if exchange.route.is_stream && is_success {
+            let remainder = exchange.events.partial().to_vec();
+            if !remainder.is_empty() {
+                // Not a complete event, but part of the endpoint's body.
+                self.write_head_once(key, head);
+                self.write_body_chunk(key, &remainder);
+            }
+            self.record_first_event(key, now_ms);
+            return self.finish_success(key, head, now_ms);
+        }
+        if is_success {
+            self.record_first_event(key, now_ms);
+            return self.finish_success(key, head, now_ms);
+        }
+        let failure = if (200..300).contains(&head.status) {
+            Failure::Broken
+        } else {
+            Failure::Error
+        };
+        let is_server_error = head.status >= 500 || failure == Failure::Broken;
+        if is_server_error {
+            self.avoid_destination(key);
+            self.end_dispatch(key, Some(failure), now_ms);
+            if self.try_retry(key, "endpoint failed") {
+                return;
+            }
+        } else {
+            self.end_dispatch(key, None, now_ms);
+        }
+        if self.exchanges[key].has_response_begun {
+            return self.cut_off(key, "endpoint failed during the answer");
+        }
+        if failure == Failure::Broken {
+            return self.fail(key, "unusable answer", GatewayResponse::new(502));
+        }
+        self.relay_response(key, head);
+    }
+
+    pub(super) fn finish_success(&mut self, key: usize, head: &ResponseHead, now_ms: u64) {
+        let sent_ms = self
+            .exchanges
+            .get(key)
+            .and_then(|exchange| exchange.dispatch.as_ref())
+            .map(|dispatch| dispatch.sent_ms);
+        let service = self.exchanges[key].route.service.clone();
+        if let Some(sent_ms) = sent_ms {
+            let is_here = matches!(
+                self.exchanges[key].destination(),
+                Some(Destination::Endpoint(_))
+            );
+            if is_here {
+                self.fleet
+                    .record_run_time(&service, now_ms.saturating_sub(sent_ms) as f64);
+            }
+        }
+        self.end_dispatch(key, None, now_ms);
+        self.relay_response(key, head);
+    }
+
+    /// Relays a complete response, or the rest of one that has begun.
+    pub(super) fn relay_response(&mut self, key: usize, head: &ResponseHead) {
+        let is_leaving = self.shutdown_started_ms.is_some();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let buffered = std::mem::take(&mut exchange.buffered);
+        let has_begun = exchange.has_response_begun;
+        if let Some(inbound) = exchange
+            .inbound
+            .and_then(|inbound| self.inbound.get_mut(inbound))
+        {
+            inbound.is_closing |= is_leaving;
+            if has_begun {
+                write_chunk(&buffered, inbound.socket.output());
+                write_last_chunk(inbound.socket.output());
+            } else {
+                let is_closing = inbound.is_closing;
+                let frame = BodyFrame::Length(buffered.len() as u64);
+                write_response_head(head, frame, is_closing, inbound.socket.output());
+                inbound.socket.queue(&buffered);
+            }
+        }
+        self.end_exchange(key, "answered", head.status);
+    }
+
+    /// Handles the statement of an endpoint or region that it did not run the
+    /// request.
+    pub(super) fn handle_not_run(&mut self, key: usize, head: &ResponseHead, failure: Failure) {
+        let now_ms = self.now_ms();
+        let Some(exchange) = self.exchanges.get_mut(key) else {
+            return;
+        };
+        let destination = exchange.destination().cloned();
+        exchange.buffered.clear();
+        let retry_ms = head
+            .header("retry-after")
+            .and_then(|seconds| seconds.parse::<f64>().ok())
+            .map_or(UNREACHABLE_RETRY_MS, |seconds| (seconds * 1_000.0) as u64);
+        match destination {
+            Some(Destination::Endpoint(choice)) => {
+                exchange.excluded_endpoints.push(choice.endpoint.clone());
+                self.end_dispatch(key, Some(failure), now_ms);
+                let service = self.exchanges[key].route.service.clone();
+                let tries_left =
+                    self.exchanges[key].excluded_endpoints.len() < MAX_EXCLUDED_ENDPOINTS;
+                let hosts = self.hosts.live_count(now_ms);
+                if tries_left && self.retry_budget.try_take(&service, hosts, now_ms) {
+                    return self.place_exchange(key);
+                }
+                self.refuse(key, "endpoint full", retry_ms);
+            }
+            Some(Destination::Region { region, .. }) => {
+                exchange.excluded_regions.push(region);
+                self.end_dispatch(key, None, now_ms);
+                self.place_exchange(key);
+            }
+            None => {}
+        }
+    }
+}
+
+/// Returns whether a response is a signed success with an unencoded body.
+fn is_success(head: &ResponseHead, metadata: &ResponseMetadata) -> bool {
+    (200..300).contains(&head.status)
+        && metadata.is_signed
+        && head.header("content-encoding").is_none()
+}
--- a/src/host/parts.rs
+++ b/src/host/parts.rs
@@ -57,13 +57,13 @@
     ticket::{
         table::TicketTable,
         token::{
-            HostRun,
-            Owner,
+            HostInstance,
+            TicketOwner,
             TicketSigner, //
         }, //
     },
-    ticket_thread::TableHandle,
-    tickets::TicketContext,
+    ticket_thread::TicketTableHandle,
+    ticketed_calls::TicketContext,
     types::{
         Incarnation,
         Millis,
@@ -110,8 +110,8 @@
     keys: &HostKeys,
     relay: RelayContext,
 ) -> Result<(TicketContext, JoinHandle<()>), StartError> {
-    let me = Owner {
-        run: HostRun {
+    let this_host = TicketOwner {
+        instance: HostInstance {
             host: config.host.clone(),
             incarnation,
         },
@@ -120,15 +120,15 @@
     };
     let signer = TicketSigner::new(&keys.cluster_key)?;
     let started_ms = clock::now();
-    let table = TicketTable::new(me.clone(), started_ms);
-    let (table, thread) = TableHandle::start(table).map_err(|source| StartError::Thread {
+    let table = TicketTable::new(this_host.clone(), started_ms);
+    let (table, thread) = TicketTableHandle::start(table).map_err(|source| StartError::Thread {
         name: "tickets",
         source,
     })?;
     let context = TicketContext {
         table,
         signer,
-        me,
+        this_host,
         started_ms,
         relay,
     };
--- a/src/platform/items.rs
+++ b/src/platform/items.rs
@@ -1,7 +1,8 @@
-//! Items of the platform's store: configuration, endpoints and evacuations.
+//! Items of the platform's metadata store: configuration, endpoints and
+//! evacuations.
 //!
-//! The wire types are private. A field that is missing or of another type makes
-//! the whole item unusable, except where the platform allows its absence.
+//! The wire types are private. A field that is missing or of the wrong type makes
+//! the entire item invalid, except where the platform allows its absence.
 
 use std::net::SocketAddr;
 
@@ -32,18 +33,18 @@
 /// Prefix of the keys of endpoints.
 pub const ENDPOINT_PREFIX: &str = "servers/";
 
-/// Why an item cannot be used.
+/// Error in the value of an item.
 #[derive(Debug, Error)]
 pub enum ItemError {
-    /// The text is not the expected JSON.
-    #[error("not the expected JSON: {0}")]
+    /// The value is not JSON of the expected form.
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A word that the platform does not define.
-    #[error("unknown {field} {value:?}")]
-    UnknownWord {
-        /// The field.
+    /// A field has a value that the platform does not define.
+    #[error("unknown value {value:?} of field {field:?}")]
+    UnknownValue {
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: CompactString,
     },
 }
@@ -52,7 +53,7 @@
 struct WireConfiguration {
     version: u64,
     routes: Vec<WireRoute>,
-    /// Services; the platform calls them back ends, as it does endpoints.
+    /// Services; the platform uses "backend" for both services and endpoints.
     backends: Vec<WireService>,
     limits: WireLimits,
 }
@@ -67,7 +68,7 @@
     goal_ms: Option<f64>,
     max_attempts: Option<u32>,
     prio: Option<u8>,
-    /// The one service, if the route is not split.
+    /// Service of a route that is not split.
     backend: Option<CompactString>,
     #[serde(default)]
     split: Vec<WireShare>,
@@ -97,10 +98,10 @@
 struct WireEngine {
     slots: u32,
     kv_cap_tokens: u64,
-    /// Memory of one token of a prompt or an answer.
+    /// Memory that a token of a prompt or output takes.
     #[serde(default)]
     kv_token_bytes: f64,
-    /// Rate at which engines copy cached prompts between each other.
+    /// Rate at which engines copy cached prompts from each other, in Mbit/s.
     #[serde(default)]
     link_mbps: f64,
 }
@@ -115,7 +116,7 @@
 
 #[derive(Deserialize)]
 struct WireEndpoint {
-    /// Name of the service that the endpoint belongs to.
+    /// Name of the endpoint's service.
     backend: CompactString,
     addr: SocketAddr,
     zone: CompactString,
@@ -123,14 +124,19 @@
     state: CompactString,
     #[serde(default)]
     cold_left_ms: f64,
-    /// Only in a notice of removal: time until the endpoint is gone.
+    /// Time until the endpoint is removed; present only in a removal notice.
     remaining_ms: Option<f64>,
-    /// Unix time of the start, in milliseconds.
+    /// Unix time of the endpoint's start in milliseconds.
     #[serde(default)]
     born: u64,
 }
 
-/// Reads the configuration.
+/// Decodes the configuration.
+///
+/// # Errors
+///
+/// Fails if the value is not JSON of the expected form or a route has an unknown
+/// kind.
 pub fn decode_configuration(text: &[u8]) -> Result<Configuration, ItemError> {
     let wire: WireConfiguration = serde_json::from_slice(text)?;
     let routes: Result<Vec<Route>, ItemError> = wire.routes.into_iter().map(decode_route).collect();
@@ -141,8 +147,8 @@
         limits: CallerLimits {
             max_head_bytes: wire.limits.max_header_bytes,
             max_body_bytes: wire.limits.max_body_bytes,
-            head_timeout_ms: whole_ms(wire.limits.header_timeout_ms),
-            idle_timeout_ms: whole_ms(wire.limits.idle_timeout_ms),
+            head_timeout_ms: ceil_ms(wire.limits.header_timeout_ms),
+            idle_timeout_ms: ceil_ms(wire.limits.idle_timeout_ms),
         },
     })
 }
@@ -154,13 +160,13 @@
         "streaming" if wire.resumable => RetryPolicy::Resume,
         "streaming" => RetryPolicy::Never,
         _ => {
-            return Err(ItemError::UnknownWord {
+            return Err(ItemError::UnknownValue {
                 field: "kind",
                 value: wire.kind,
             });
         }
     };
-    let whole = wire.backend.map(|service| RouteTarget {
+    let single = wire.backend.map(|service| RouteTarget {
         service,
         weight: 1.0,
     });
@@ -168,7 +174,7 @@
         service: share.backend,
         weight: share.weight,
     });
-    let timeout_ms = whole_ms(wire.timeout_ms);
+    let timeout_ms = ceil_ms(wire.timeout_ms);
     Ok(Route {
         is_stream: wire.kind == "streaming",
         name: wire.name,
@@ -176,10 +182,10 @@
         prefix: wire.prefix,
         retry_policy,
         timeout_ms,
-        goal_ms: wire.goal_ms.map_or(timeout_ms, whole_ms),
+        goal_ms: wire.goal_ms.map_or(timeout_ms, ceil_ms),
         max_attempts: wire.max_attempts.unwrap_or(1).max(1),
         priority: wire.prio,
-        targets: whole.into_iter().chain(shares).collect(),
+        targets: single.into_iter().chain(shares).collect(),
         home_regions: wire.home_regions,
     })
 }
@@ -187,7 +193,7 @@
 fn decode_service(wire: WireService) -> Service {
     Service {
         name: wire.name,
-        cold_ms: whole_ms(wire.cold_s * 1_000.0),
+        cold_ms: ceil_ms(wire.cold_s * 1_000.0),
         cold_per_s: wire.cold_per_s,
         engine: wire.engine.map(|engine| Engine {
             slots: engine.slots,
@@ -197,20 +203,25 @@
     }
 }
 
-/// Time to copy a cached token to another engine; none if engines do not copy.
+/// Returns the time to copy a cached token to another engine; none if engines do
+/// not copy.
 fn copy_ms_per_token(engine: &WireEngine) -> Option<f64> {
     let is_possible = engine.kv_token_bytes > 0.0 && engine.link_mbps > 0.0;
     is_possible.then(|| engine.kv_token_bytes * 8.0 / (engine.link_mbps * 1_000.0))
 }
 
-/// Reads the entry of an endpoint.
+/// Decodes the announcement of an endpoint.
+///
+/// # Errors
+///
+/// Fails if the value is not JSON of the expected form or has an unknown state.
 pub fn decode_endpoint(text: &[u8]) -> Result<Announcement, ItemError> {
     let wire: WireEndpoint = serde_json::from_slice(text)?;
     let stage = match wire.state.as_str() {
         "ready" => Stage::Ready,
         "draining" => Stage::Draining,
         _ => {
-            return Err(ItemError::UnknownWord {
+            return Err(ItemError::UnknownValue {
                 field: "state",
                 value: wire.state,
             });
@@ -222,13 +233,13 @@
         data_centre: wire.zone,
         slots: wire.slots.max(1),
         stage,
-        cold_left_ms: whole_ms(wire.cold_left_ms),
-        remaining_ms: wire.remaining_ms.map(whole_ms),
+        cold_left_ms: ceil_ms(wire.cold_left_ms),
+        remaining_ms: wire.remaining_ms.map(ceil_ms),
         started_ms: wire.born,
     })
 }
 
-/// Rounds a duration up to whole milliseconds; negative ones count as none.
-fn whole_ms(ms: f64) -> u64 {
+/// Rounds a duration up to full milliseconds; negative ones become 0.
+fn ceil_ms(ms: f64) -> u64 {
     ms.ceil().max(0.0) as u64
 }
--- a/tests/gateway_shutdown.rs
+++ b/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! What callers see of a host that is asked to stop.
+//! Behaviour of a host towards callers when it stops and when they disconnect.
 
 mod gatewayenv;
 
@@ -16,13 +16,13 @@
 use gatewayenv::{
     Request,
     host_with,
-    read_next_answer,
+    read_next_response,
     wait_until, //
 };
 use nix::sys::signal::Signal;
 
-/// Guards against requests that a stopping host takes although it cannot finish
-/// them, and against streams that it cuts although it could have.
+/// Guards against a stopping host that accepts requests it cannot finish, or
+/// interrupts streams that it could have finished.
 #[test]
 fn stopping_host_finishes_streams_and_refuses_late_requests() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| match arrival.path.as_str() {
@@ -36,11 +36,11 @@
     })
     .expect("the endpoint starts");
     let (store, mut host) = host_with(&endpoint);
-    let callers = host.callers;
+    let caller_address = host.caller_address;
     let stream = thread::spawn(move || {
         Request::post("/draft/1", b"text")
             .with_attempt("a-1", 9_000)
-            .send(callers)
+            .send(caller_address)
     });
     wait_until("the stream runs", || endpoint.runs().len() == 1);
 
@@ -48,28 +48,29 @@
     wait_until("the host is not ready", || !host.is_ready());
     let early = Request::post("/book/1", b"x")
         .with_attempt("a-2", 5_000)
-        .send(host.callers);
+        .send(host.caller_address);
     thread::sleep(Duration::from_millis(3_100));
     let late = Request::post("/book/1", b"x")
         .with_attempt("a-3", 5_000)
-        .send(host.callers);
+        .send(host.caller_address);
 
     assert_eq!(early.status, 200);
     assert_eq!(early.header("connection"), Some("close"));
     assert_eq!(late.status, 503);
     assert!(late.header("retry-after").is_some());
     let stream = stream.join().expect("the caller ends");
-    assert!(stream.is_whole);
+    assert!(stream.is_complete);
     assert_eq!(stream.text(), (0..40).map(event_text).collect::<String>());
     assert_eq!(host.wait_end(Duration::from_secs(5)), Some(0));
     assert!(!endpoint.runs().iter().any(|run| run.attempt() == "a-3"));
     assert!(store.keys("cardamombridge/hosts/").is_empty());
 }
 
-/// Guards against a caller that left while its stream runs on at the endpoint,
-/// and against a call with an effect that is broken off with its caller.
+/// Guards against a stream that keeps running at the endpoint after its caller
+/// has disconnected, and against the interruption of a request with a side
+/// effect whose caller has disconnected.
 #[test]
-fn stream_ends_with_its_caller_and_a_booking_does_not() {
+fn disconnection_ends_a_stream_but_not_a_booking() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| match arrival.path.as_str() {
         "/draft/1" => Script::Events {
             first: 0,
@@ -85,7 +86,7 @@
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
     let leave_after_start = |path: &str, attempt: &str| {
-        let mut stream = TcpStream::connect(host.callers).expect("a connection");
+        let mut stream = TcpStream::connect(host.caller_address).expect("a connection");
         let request = Request::post(path, b"x").with_attempt(attempt, 9_000);
         std::io::Write::write_all(&mut stream, &request.bytes()).expect("the request is sent");
         wait_until("the request runs", || {
@@ -107,15 +108,16 @@
     assert!(log.contains("\"outcome\":\"caller left\""));
 }
 
-/// Guards against a second answer on a kept connection that is lost or mixed.
+/// Guards against responses that are lost or reordered when requests are
+/// pipelined on one connection.
 #[test]
-fn kept_connection_serves_requests_one_after_the_other() {
+fn pipelined_requests_are_answered_in_order() {
     let endpoint = ScriptedEndpoint::start("e-1", |_, arrival| {
         Script::Answer(200, arrival.attempt().as_bytes().to_vec())
     })
     .expect("the endpoint starts");
     let (_store, host) = host_with(&endpoint);
-    let mut stream = TcpStream::connect(host.callers).expect("a connection");
+    let mut stream = TcpStream::connect(host.caller_address).expect("a connection");
     let pipelined: Vec<u8> = (0..3)
         .flat_map(|number| {
             Request::get("/read/1")
@@ -125,13 +127,13 @@
         .collect();
 
     std::io::Write::write_all(&mut stream, &pipelined).expect("the requests are sent");
-    // All answers may arrive at once.
+    // All responses may arrive at once.
     thread::sleep(Duration::from_millis(300));
 
     let mut read = Vec::new();
     for number in 0..3 {
-        let answer = read_next_answer(&mut stream, &mut read).expect("an answer");
-        assert_eq!(answer.text(), format!("a-{number}"));
+        let response = read_next_response(&mut stream, &mut read).expect("a response");
+        assert_eq!(response.text(), format!("a-{number}"));
     }
-    assert!(read.is_empty(), "bytes after the last answer: {read:?}");
+    assert!(read.is_empty(), "bytes after the last response: {read:?}");
 }
