--- a/src/caller/routes.rs
+++ b/src/caller/routes.rs
@@ -200,7 +200,7 @@
     let intent = request.intent()?;
     let text = request.head.path.strip_prefix(TICKET_PREFIX);
     let asked = match request.head.method.as_str() {
-        "DELETE" => TicketRequest::Void,
+        "DELETE" => TicketRequest::Cancel,
         _ => TicketRequest::State,
     };
     Ok(Prepared::Ticketed(Box::new(TicketedRequest {
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -94,7 +94,7 @@
             ticket_request(context, exchange, &ticket, &caller, TicketRequest::State)
         }
         Frame::CancelTicket { ticket, caller } => {
-            ticket_request(context, exchange, &ticket, &caller, TicketRequest::Void)
+            ticket_request(context, exchange, &ticket, &caller, TicketRequest::Cancel)
         }
         Frame::TicketHandover { .. } => handover(context, exchange),
         Frame::GetBurnReport => burn(context, exchange),
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -15,7 +15,7 @@
 //! issued --begin--> started --finish---------> finished (response kept)
 //!   |  ^               | |----finish_unknown-> unknown
 //!   |  '---release-----' '----give_up--------> closed (given up)
-//!   |----void--------------------------------> closed (voided)
+//!   |----cancel------------------------------> closed (cancelled)
 //!   '----expiry------------------------------> closed (expired)
 //! ```
 //!
@@ -81,7 +81,7 @@
 //! | started | 409 | `unknown` | 1 s |
 //! | finished, response kept | as kept, `Idempotent-Replayed: true` | | |
 //! | finished, response not kept | 409 | `unknown` | |
-//! | closed: voided, expired or given up | 410 with a new ticket | `not_run` | |
+//! | closed: cancelled (`voided`), expired or given up | 410 with a new ticket | `not_run` | |
 //! | unknown | 409 | `unknown` | |
 //! | bound to a call with another digest | 409 | `unknown` | |
 //! | issued, host is leaving | 503 | `unknown` | 3 s, same ticket |
@@ -93,7 +93,7 @@
 //! a caller that builds its body again for a repeat would take that as the
 //! outcome of its first call. `GET /v1/tickets/TICKET` returns 200 with
 //! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` returns 200
-//! `not_run` if [`void`] succeeds.
+//! `not_run` if [`cancel`] succeeds.
 //!
 //! # Handover at shutdown
 //!
@@ -118,6 +118,7 @@
 //! [`Unsent::mark_sent`]: crate::outcome::Unsent::mark_sent
 //! [`Unsent`]: crate::outcome::Unsent
 //! [`begin`]: table::TicketTable::begin
+//! [`cancel`]: table::TicketTable::cancel
 //! [`export`]: table::TicketTable::export
 //! [`finish_unknown`]: table::TicketTable::finish_unknown
 //! [`finish`]: table::TicketTable::finish
@@ -129,7 +130,6 @@
 //! [`start_handover`]: table::TicketTable::start_handover
 //! [`started_count`]: table::TicketTable::started_count
 //! [`verify`]: token::TicketSigner::verify
-//! [`void`]: table::TicketTable::void
 
 pub mod call;
 pub mod handover;
--- a/src/ticket/refusal.rs
+++ b/src/ticket/refusal.rs
@@ -30,8 +30,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClosedReason {
-    /// The caller voided it before it started.
-    Voided,
+    /// The caller cancelled it before it started; `voided` in responses.
+    #[serde(rename = "voided")]
+    Cancelled,
     /// It expired before it started.
     Expired,
     /// Its host gave up the call before a byte was sent.
@@ -41,7 +42,7 @@
 impl fmt::Display for ClosedReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Voided => "voided",
+            Self::Cancelled => "voided",
             Self::Expired => "expired",
             Self::GivenUp => "given_up",
         })
@@ -81,7 +82,7 @@
     /// The ticket belongs to a call with another method, path or body.
     OtherCall,
     /// The call ran and its response is not kept, or the ticket cannot be
-    /// voided.
+    /// cancelled.
     AlreadyFinished,
     /// It is not known whether the call ran.
     Unknown,
@@ -186,7 +187,7 @@
             TicketRefusalReason::TicketRequired(_) => "ticket_required",
             TicketRefusalReason::CannotIssue(error, _) => error.code(),
             TicketRefusalReason::Closed(closed) => match closed.reason {
-                ClosedReason::Voided => "ticket_voided",
+                ClosedReason::Cancelled => "ticket_voided",
                 ClosedReason::Expired => "ticket_expired",
                 ClosedReason::GivenUp => "ticket_given_up",
             },
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -211,7 +211,7 @@
             Self::Started => "started",
             Self::Finished(_) => "finished",
             Self::Closed(closed) => match closed.reason {
-                ClosedReason::Voided => "voided",
+                ClosedReason::Cancelled => "voided",
                 ClosedReason::Expired => "expired",
                 ClosedReason::GivenUp => "given_up",
             },
@@ -552,21 +552,21 @@
         }
     }
 
-    /// Voids a ticket whose call has not started, so that it never runs.
-    pub fn void(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
+    /// Cancels a ticket whose call has not started, so that it never runs.
+    pub fn cancel(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
         self.advance(now_ms);
         self.find(ticket)?;
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
         let entry = self.entries.get_mut(&ticket.body().id).ok_or(unknown)?;
         match std::mem::replace(&mut entry.state, State::Unknown) {
             State::Issued(unsent) => {
-                let closed = Closed::new(ClosedReason::Voided, unsent);
+                let closed = Closed::new(ClosedReason::Cancelled, unsent);
                 entry.state = State::Closed(closed);
                 Ok(closed)
             }
             before => {
                 entry.state = before;
-                refuse_void(&entry.state)
+                refuse_cancel(&entry.state)
             }
         }
     }
@@ -821,7 +821,7 @@
     Begin::Refused(TicketRefusal::new(reason))
 }
 
-fn refuse_void(state: &State) -> Result<Closed, TicketRefusal> {
+fn refuse_cancel(state: &State) -> Result<Closed, TicketRefusal> {
     match state {
         State::Closed(closed) => Ok(*closed),
         State::Started => Err(TicketRefusal::in_progress()),
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -128,8 +128,8 @@
     Call(Box<Exchange>, CallDigest),
     /// Returns its state.
     State,
-    /// Voids it unless its call has started.
-    Void,
+    /// Cancels it unless its call has started.
+    Cancel,
 }
 
 impl TicketContext {
@@ -266,7 +266,7 @@
         match request {
             TicketRequest::Call(exchange, digest) => self.begin_call(ticket, *exchange, digest),
             TicketRequest::State => self.state(ticket),
-            TicketRequest::Void => self.void(ticket),
+            TicketRequest::Cancel => self.cancel(ticket),
         }
     }
 
@@ -375,12 +375,12 @@
         }
     }
 
-    fn void(&self, ticket: &Ticket) -> PlainAnswer {
+    fn cancel(&self, ticket: &Ticket) -> PlainAnswer {
         let ticket = ticket.clone();
-        let voided = self
+        let cancelled = self
             .table
-            .run(move |table, now_ms| table.void(&ticket, now_ms));
-        match voided {
+            .run(move |table, now_ms| table.cancel(&ticket, now_ms));
+        match cancelled {
             Ok(Ok(closed)) => describe_state(&TicketState::Closed(closed)),
             Ok(Err(refusal)) => PlainAnswer::from_refusal(&refusal),
             Err(RingFull) => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
@@ -408,7 +408,7 @@
                 let frame = Frame::GetTicketStatus { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
-            TicketRequest::Void => {
+            TicketRequest::Cancel => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
                 let frame = Frame::CancelTicket { ticket, caller };
                 (frame, Vec::new(), Instant::now())
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -172,7 +172,7 @@
 fn one_session_of_each_kind_of_ticket() {
     let env = env();
     let (home, other) = (env.caller("stred"), env.caller("zapad"));
-    let (used, voided) = (ticket(&env, "stred"), ticket(&env, "stred"));
+    let (used, cancelled) = (ticket(&env, "stred"), ticket(&env, "stred"));
     let mut session = String::new();
 
     let without = home
@@ -188,10 +188,10 @@
     let path = format!("/v1/tickets/{used}");
     let late = other.call("DELETE", &path, Vec::new());
     session += &session_line("void after the call", &late.expect("the host must answer"));
-    let path = format!("/v1/tickets/{voided}");
-    let void = other.call("DELETE", &path, Vec::new());
-    session += &session_line("void", &void.expect("the host must answer"));
-    session += &session_line("call after void", &confirm(&other, &voided, "c"));
+    let path = format!("/v1/tickets/{cancelled}");
+    let cancel = other.call("DELETE", &path, Vec::new());
+    session += &session_line("void", &cancel.expect("the host must answer"));
+    session += &session_line("call after void", &confirm(&other, &cancelled, "c"));
 
     assert_eq!(
         (runs(&env, "a"), runs(&env, "b"), runs(&env, "c")),
@@ -338,8 +338,8 @@
         };
         assert_eq!(run_state, "unknown");
         let path = format!("/v1/tickets/{ticket}");
-        let void = caller.call("DELETE", &path, Vec::new());
-        assert_unknown(&void.expect("the host must answer"), env);
+        let cancel = caller.call("DELETE", &path, Vec::new());
+        assert_unknown(&cancel.expect("the host must answer"), env);
     }
     assert_eq!(runs(env, key), before);
 }
@@ -381,8 +381,9 @@
     }
 }
 
-/// Guards against a second run while the owner is paused, and against a void
-/// that is confirmed although the paused owner has not received it.
+/// Guards against a second run while the owner is paused, and against a
+/// cancellation that is confirmed although the paused owner has not received
+/// it.
 #[test]
 fn a_paused_owner_still_decides_alone_after_it_resumes() {
     let env = env();
@@ -392,15 +393,15 @@
         .caller("zapad")
         .with_header("x-deadline-ms", SHORT_DEADLINE_MS);
 
-    let (frozen, void) = thread::scope(|scope| {
+    let (frozen, cancel) = thread::scope(|scope| {
         let call = scope.spawn(|| confirm(&caller, &running, "frozen"));
         wait_for(TIMEOUT, "the call reaches a service", || {
             calls_received(&env) == 1
         });
         env.host("stred").signal(Signal::SIGSTOP);
         let path = format!("/v1/tickets/{waiting}");
-        let void = caller.call("DELETE", &path, Vec::new());
-        (call.join().expect("the call must end"), void)
+        let cancel = caller.call("DELETE", &path, Vec::new());
+        (call.join().expect("the call must end"), cancel)
     });
     let started = Instant::now();
     let while_paused = confirm(&caller, &waiting, "waiting");
@@ -409,15 +410,15 @@
     let resumed = final_response(&env, &caller, &running, "frozen");
     let later = final_response(&env, &caller, &waiting, "waiting");
 
-    let void = void.expect("the host must answer");
-    for response in [&frozen, &void, &while_paused] {
+    let cancel = cancel.expect("the host must answer");
+    for response in [&frozen, &cancel, &while_paused] {
         assert_unknown(response, &env);
         assert!(has_retry_after(response), "{response:?}");
     }
     assert!(while_paused_took < Duration::from_secs(2) + FORWARD_GRACE);
     assert!(resumed.status == 200 || resumed.run_state() == "unknown");
     assert_eq!(runs(&env, "frozen"), 1);
-    // The void may have reached the owner; then the call never runs.
+    // The cancellation may have reached the owner; then the call never runs.
     match later.status {
         200 => assert_eq!(runs(&env, "waiting"), 1),
         _ => assert_eq!(runs(&env, "waiting"), 0, "{later:?}"),
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -105,8 +105,8 @@
     ReleaseReportsNotRun,
     /// A table reports `not_run` when it does not know whether the call ran.
     UnknownReportsNotRun,
-    /// A ticket is voided although its call has started.
-    VoidsStarted,
+    /// A ticket is cancelled although its call has started.
+    CancelsStarted,
 }
 
 const RAN_TWICE: &str = "a call ran twice";
@@ -129,7 +129,7 @@
         Fault::UnknownReportsNotRun,
         &[NOT_RUN_AFTER_SEND, NOT_RUN_AFTER_UNKNOWN],
     ),
-    (Fault::VoidsStarted, &[NOT_RUN_AFTER_SEND]),
+    (Fault::CancelsStarted, &[NOT_RUN_AFTER_SEND]),
 ];
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -143,7 +143,7 @@
     EndpointRuns(usize),
     FinishOk(usize, usize),
     FinishUnknown(usize, usize),
-    Void(usize, usize),
+    Cancel(usize, usize),
     Query(usize, usize),
     QueryThroughThird(usize),
     StartHandover,
@@ -211,7 +211,7 @@
             Event::GiveUp(host, ticket),
             Event::FinishOk(host, ticket),
             Event::FinishUnknown(host, ticket),
-            Event::Void(host, ticket),
+            Event::Cancel(host, ticket),
             Event::Query(host, ticket),
         ]);
     }
@@ -386,7 +386,7 @@
             Event::EndpointRuns(ticket) => self.endpoint_runs(ticket),
             Event::FinishOk(host, ticket) => self.finish_ok(host, ticket),
             Event::FinishUnknown(host, ticket) => self.finish_unknown(host, ticket),
-            Event::Void(host, ticket) => self.void(host, ticket),
+            Event::Cancel(host, ticket) => self.cancel(host, ticket),
             Event::Query(host, ticket) => self.query(host, ticket, true),
             Event::QueryThroughThird(ticket) => self.query(THIRD, ticket, false),
             Event::StartHandover => self.start_handover(),
@@ -591,16 +591,16 @@
         Ok(true)
     }
 
-    fn void(&mut self, host: usize, ticket: usize) -> Step {
+    fn cancel(&mut self, host: usize, ticket: usize) -> Step {
         let Some(presented) = self.arrive(host, ticket)? else {
             return Ok(self.hosts[host].is_up);
         };
         let now_ms = self.clock(host);
-        let result = self.hosts[host].table.void(&presented, now_ms);
+        let result = self.hosts[host].table.cancel(&presented, now_ms);
         match result {
             Ok(_) => self.report_not_run(ticket)?,
             Err(refusal) if refusal.reason == TicketRefusalReason::InProgress => {
-                if self.has(Fault::VoidsStarted) {
+                if self.has(Fault::CancelsStarted) {
                     self.report_not_run(ticket)?;
                 }
             }
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -173,22 +173,22 @@
     let (_permit, _unsent) = start(&mut table, &in_progress);
     let finished = issue(&mut table, 2);
     finish(&mut table, &finished, "done");
-    let voided = issue_to(&mut table, 3, "marcos").expect("ticket");
-    table.void(&voided, START_MS).expect("void");
+    let cancelled = issue_to(&mut table, 3, "marcos").expect("ticket");
+    table.cancel(&cancelled, START_MS).expect("cancelled");
 
     let repeat = refusal(begin_at(&mut table, &in_progress, START_MS));
     let replay = begin_at(&mut table, &finished, START_MS);
-    let after_void = refusal(begin_at(&mut table, &voided, START_MS));
-    let void_started = table.void(&in_progress, START_MS).expect_err("started");
+    let after_cancel = refusal(begin_at(&mut table, &cancelled, START_MS));
+    let cancel_started = table.cancel(&in_progress, START_MS).expect_err("started");
 
     assert_eq!(status_and_run_state(&repeat), (409, RunStateWord::Unknown));
     assert_eq!(repeat.retry_after_s(), Some(1));
     assert!(matches!(replay, Begin::Replay(response) if response.body == b"done"));
     assert_eq!(
-        status_and_run_state(&after_void),
+        status_and_run_state(&after_cancel),
         (410, RunStateWord::NotRun)
     );
-    assert_eq!(void_started.reason, TicketRefusalReason::InProgress);
+    assert_eq!(cancel_started.reason, TicketRefusalReason::InProgress);
     let required = TicketRefusal::ticket_required(Unsent::new());
     assert_eq!(status_and_run_state(&required), (428, RunStateWord::NotRun));
 }
@@ -413,7 +413,7 @@
     let wrong_instance = next_instance.import(&handover, START_MS);
     let too_late = late.import(&handover, START_MS + HANDOVER_VALID_MS);
     let first = new.import(&handover, START_MS);
-    new.void(&ticket, START_MS).expect("void");
+    new.cancel(&ticket, START_MS).expect("cancelled");
     let second = new.import(&handover, START_MS);
 
     assert!(matches!(
