--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -704,9 +704,7 @@
     fn insert_imported(&mut self, ticket: &HandoverTicket) {
         let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandoverState::Finished(response) => {
-                State::Finished(self.keep_imported(response.as_ref()))
-            }
+            HandoverState::Finished(kept) => State::Finished(self.keep_imported(kept.as_ref())),
             _ if is_of_this_host => State::Unknown,
             // The exporter dropped its own `Unsent` with the export.
             HandoverState::Issued => State::Issued(Unsent::new()),
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -475,20 +475,18 @@
         if self.model.fault == Some(Fault::RecordsStartLate)
             && table.state(&presented, now_ms) == Ok(TicketState::Issued)
         {
-            self.add_pending(host, ticket, None, Unsent::new());
+            self.add_call(host, ticket, None, Unsent::new());
             return Ok(true);
         }
         match table.begin(&presented, digest, Unsent::new(), now_ms) {
-            Begin::Started { permit, unsent } => {
-                self.add_pending(host, ticket, Some(permit), unsent)
-            }
+            Begin::Started { permit, unsent } => self.add_call(host, ticket, Some(permit), unsent),
             Begin::Replay(_) => self.check_ran(ticket)?,
             Begin::Refused(refusal) => self.report_refusal(ticket, &refusal)?,
         }
         Ok(true)
     }
 
-    fn add_pending(&mut self, host: usize, ticket: usize, permit: Option<Permit>, unsent: Unsent) {
+    fn add_call(&mut self, host: usize, ticket: usize, permit: Option<Permit>, unsent: Unsent) {
         let proof = Proof::Unsent(unsent);
         let pending = PendingCall {
             ticket,
