--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -39,12 +39,12 @@
 //! 3. With one, [`verify`] it; on failure respond with
 //!    [`TicketError::status`] and [`TicketError::run_state`]. A key that is no
 //!    ticket is 428 as well and gets a new ticket.
-//! 4. Call [`route`]. It selects the ticket's holder, the instance that decides
-//!    it now, or returns a refusal. A forwarding host passes on the holder's
-//!    response. If that is missing or incomplete the forwarding host responds
-//!    with [`TicketRefusal::unreachable`], also if it could not connect: an earlier
-//!    copy of the call may have arrived. It must never turn its own
-//!    [`Unsent`] into `not_run`.
+//! 4. Call [`route`]. It selects the ticket's holder, the instance that is
+//!    responsible for it now, or returns a refusal. A forwarding host passes on
+//!    the holder's response. If that is missing or incomplete the forwarding
+//!    host responds with [`TicketRefusal::unreachable`], also if it could not
+//!    connect: an earlier copy of the call may have arrived. It must never turn
+//!    its own [`Unsent`] into `not_run`.
 //!
 //! At the holder, `route` is called again with `is_forwarded`, and then:
 //!
@@ -99,13 +99,13 @@
 //!
 //! [`start_handover`] names the successor and stops issuing tickets and
 //! starting calls. When [`started_count`] is zero or the drain limit is
-//! reached, [`export`] makes the message; from then on this instance decides
-//! nothing. The message may be sent any number of times, and `AlreadyImported`
-//! in return counts as success. The successor announces [`owners`] with its
-//! heartbeats. If the message is lost, or arrives later than
-//! [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets are unknown.
-//! The message must be authenticated, because an import relies on the exporter
-//! having stopped deciding its tickets.
+//! reached, [`export`] makes the message; from then on this instance is
+//! responsible for no tickets. The message may be sent any number of times, and
+//! `AlreadyImported` in return counts as success. The successor announces
+//! [`owners`] with its heartbeats. If the message is lost, or arrives later
+//! than [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets are
+//! unknown. The message must be authenticated, because an import relies on the
+//! exporter having given up its tickets.
 //!
 //! [`AllowedRegions`]: crate::decision::residency::AllowedRegions
 //! [`Begin::Started`]: table::Begin::Started
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -331,14 +331,14 @@
             .count()
     }
 
-    /// Returns the owners of the tickets that this table decides, for the
-    /// heartbeat: this instance and those whose tickets it has imported; none
-    /// after the export.
+    /// Returns the owners of the tickets that this table is responsible for,
+    /// for the heartbeat: this instance and those whose tickets it has
+    /// imported; none after the export.
     pub fn owners(&self) -> &BTreeSet<HostInstance> {
         &self.owners
     }
 
-    /// Returns whether this table decides the state of `ticket`.
+    /// Returns whether this table is responsible for `ticket`.
     pub fn holds(&self, ticket: &Ticket) -> bool {
         self.owners.contains(&ticket.body().owner.instance)
     }
@@ -497,8 +497,8 @@
         Ok(())
     }
 
-    /// Returns a call of which no byte was sent to the state issued, so that it
-    /// can start again.
+    /// Ends a call of which no byte was sent and returns its ticket to the
+    /// state issued, so that the call can start again.
     ///
     /// This must not be reported as `not_run`, because the same ticket may run
     /// later. A ticket that has expired meanwhile is closed.
@@ -571,8 +571,8 @@
         }
     }
 
-    /// Returns the state of a ticket, or a refusal if this table does not
-    /// decide it.
+    /// Returns the state of a ticket, or a refusal if this table is not
+    /// responsible for it.
     pub fn state(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<TicketState, TicketRefusal> {
         self.advance(now_ms);
         let entry = self.find(ticket)?;
@@ -609,10 +609,10 @@
     ///
     /// Calls that are still in progress become unknown, so wait for
     /// [`started_count`](Self::started_count) to reach zero first, up to the
-    /// drain limit. From then on this table decides nothing. A further export
-    /// returns the same message, so that it can be sent again. Tickets of
-    /// callers for which `may_receive` is false, because their data must not
-    /// reach the successor, are left out and become unknown.
+    /// drain limit. From then on this table is responsible for no tickets. A
+    /// further export returns the same message, so that it can be sent again.
+    /// Tickets of callers for which `may_receive` is false, because their data
+    /// must not reach the successor, are left out and become unknown.
     pub fn export<F>(
         &mut self,
         may_receive: F,
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -512,7 +512,7 @@
         }
     }
 
-    /// Returns the owners of the tickets that this host decides.
+    /// Returns the owners of the tickets that this host is responsible for.
     pub fn owners(&self) -> Vec<HostInstance> {
         let owners = self
             .table
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -385,7 +385,7 @@
 /// cancellation that is confirmed although the paused owner has not received
 /// it.
 #[test]
-fn a_paused_owner_still_decides_alone_after_it_resumes() {
+fn a_paused_owner_alone_serves_its_tickets_after_it_resumes() {
     let env = env();
     let (running, waiting) = (ticket(&env, "stred"), ticket(&env, "stred"));
     set_delay(&env, SLOW_CALL);
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -221,7 +221,7 @@
     let again = refusal(begin_at(&mut table, &ticket, START_MS));
 
     assert_eq!(before, Ok(TicketState::Issued));
-    assert_eq!(at.expect("decided here").as_str(), "expired");
+    assert_eq!(at.expect("in the table").as_str(), "expired");
     assert_eq!(status_and_run_state(&again), (410, RunStateWord::NotRun));
 }
 
@@ -430,7 +430,7 @@
         second,
         Err(ImportError::AlreadyImported(instance("host-1", 1)))
     );
-    let state = new.state(&ticket, START_MS).expect("decided here");
+    let state = new.state(&ticket, START_MS).expect("in the table");
     assert_eq!(state.as_str(), "voided");
 }
 
@@ -547,8 +547,7 @@
     }
 }
 
-/// Guards against a ticket that is decided by an instance other than its
-/// holder.
+/// Guards against a ticket that is served by an instance other than its holder.
 #[test]
 fn a_ticket_goes_to_its_holder_and_no_further() {
     let local = route_with(|case, _| case.is_held_here = true);
