--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -24,7 +24,7 @@
     fraction, //
 };
 use crate::{
-    ticket::token::HostRun,
+    ticket::token::HostInstance,
     types::{
         DataCentreId,
         EndpointId,
@@ -100,7 +100,7 @@
     pub open_requests: u32,
     /// Host instances whose tickets it decides, including its own instance until it
     /// has handed its tickets over.
-    pub ticket_owners: Vec<HostRun>,
+    pub ticket_owners: Vec<HostInstance>,
 }
 
 /// An endpoint's report of its load.
@@ -430,12 +430,12 @@
     /// Returns the host instance that decides the tickets issued by `owner`: `owner`
     /// itself, or the instance of another host that has announced that it took them
     /// over.
-    pub fn ticket_holder(&self, owner: &HostRun) -> HostRun {
+    pub fn ticket_holder(&self, owner: &HostInstance) -> HostInstance {
         let is_successor = |state: &&HostState| {
             state.heartbeat.host != owner.host && state.heartbeat.ticket_owners.contains(owner)
         };
         match self.hosts.values().find(is_successor) {
-            Some(state) => HostRun {
+            Some(state) => HostInstance {
                 host: state.heartbeat.host.clone(),
                 incarnation: state.heartbeat.incarnation,
             },
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -52,7 +52,7 @@
     },
     sink::AnswerSink,
     ticket::call::CallDigest,
-    tickets::{
+    ticketed_calls::{
         TicketCaller,
         TicketContext,
         TicketRequest, //
@@ -94,7 +94,7 @@
             ticket_request(context, exchange, &ticket, &caller, TicketRequest::State)
         }
         Frame::CancelTicket { ticket, caller } => {
-            ticket_request(context, exchange, &ticket, &caller, TicketRequest::Void)
+            ticket_request(context, exchange, &ticket, &caller, TicketRequest::Cancel)
         }
         Frame::TicketHandover { .. } => handover(context, exchange),
         Frame::GetBurnReport => burn(context, exchange),
--- a/src/tickets.rs
+++ b/src/ticketed_calls.rs
@@ -1,9 +1,8 @@
-//! Calls that must not be repeated: the thread that owns the ticket table and
-//! the way of a call through it.
+//! Serves calls that must not be repeated, with tickets.
 //!
-//! Any host takes a ticketed call. The host that owns the ticket runs it; every
-//! other host forwards it there and passes the answer on. Only the owner can say
-//! that a call did not run.
+//! Every host accepts ticketed calls. The host that holds the ticket runs the
+//! call; every other host forwards it there and passes on the response. Only
+//! the holder can report that a call did not run.
 
 use std::{
     sync::Arc,
@@ -51,7 +50,7 @@
     ticket::{
         call::{
             CallDigest,
-            KeptAnswer, //
+            KeptResponse, //
         },
         handover::{
             Handover,
@@ -59,29 +58,29 @@
         },
         refusal::TicketRefusal,
         route::{
+            KnownHost,
             Route,
             RouteView,
-            Sighting,
             route, //
         },
         table::{
             Begin,
             IssueError,
-            IssueFor,
+            IssueRequest,
             Permit,
             TicketState, //
         },
         token::{
-            HostRun,
-            Owner,
-            Presented,
+            HostInstance,
             Ticket,
             TicketError,
             TicketId,
+            TicketOwner,
             TicketSigner, //
+            VerifyContext,
         }, //
     },
-    ticket_thread::TableHandle,
+    ticket_thread::TicketTableHandle,
     types::{
         CallerId,
         Millis,
@@ -94,26 +93,26 @@
 /// Header field that carries a ticket.
 pub const TICKET_FIELD: &str = "idempotency-key";
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(60);
-const MAX_ANSWER_BYTES: usize = 17 * 1024 * 1024;
-/// When to come back after the ring of the table was full.
-const SHED_RETRY_AFTER_MS: Millis = Millis(1_000);
+const MAX_RESPONSE_BYTES: usize = 17 * 1024 * 1024;
+/// Retry time when the job queue of the ticket table is full.
+const FULL_QUEUE_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// What ticketed calls need.
+/// What a host needs to serve ticketed calls.
 #[derive(Clone)]
 pub struct TicketContext {
-    /// Leads to the ticket table.
-    pub table: TableHandle,
-    /// Writes and verifies tickets.
+    /// The ticket table of this host.
+    pub table: TicketTableHandle,
+    /// Encodes and verifies tickets.
     pub signer: TicketSigner,
     /// This host.
-    pub me: Owner,
-    /// When it started.
+    pub this_host: TicketOwner,
+    /// Instant at which it started.
     pub started_ms: Millis,
-    /// What requests need on their way.
+    /// What requests need to reach an endpoint or another host.
     pub relay: RelayContext,
 }
 
-/// Whom a ticket is for.
+/// Who a ticket is for.
 #[derive(Debug, Clone)]
 pub struct TicketCaller {
     /// The authenticated caller.
@@ -122,15 +121,15 @@
     pub allowed: AllowedRegions,
 }
 
-/// What is asked of a ticket.
+/// What a caller requests for a ticket.
 #[derive(Debug)]
 pub enum TicketRequest {
-    /// Run its call.
+    /// Runs its call.
     Call(Box<Exchange>, CallDigest),
-    /// Tell its state.
+    /// Returns its state.
     State,
-    /// Close it unless it has started.
-    Void,
+    /// Cancels it unless its call has started.
+    Cancel,
 }
 
 impl TicketContext {
@@ -139,21 +138,21 @@
         let (to, service) = (to.clone(), service.clone());
         let issued = self.table.run(move |table, now_ms| {
             let id = TicketId(RequestId(rand::rng().random()));
-            let issue_for = IssueFor {
+            let issue_request = IssueRequest {
                 caller: &to.caller,
                 service: &service,
                 allowed: &to.allowed,
             };
-            table.issue(id, &issue_for, now_ms)
+            table.issue(id, &issue_request, now_ms)
         });
         let busy = IssueError::Full {
-            retry_after_ms: SHED_RETRY_AFTER_MS,
+            retry_after_ms: FULL_QUEUE_RETRY_AFTER_MS,
         };
         let ticket = issued.map_err(|RingFull| busy)??;
         self.signer.encode(&ticket).map_err(|_| busy)
     }
 
-    /// The refusal of a call that has no ticket, with a fresh one.
+    /// Refuses a call that has no ticket; the response carries a new one.
     pub fn ticket_required(&self, to: &TicketCaller, service: &ServiceId) -> PlainAnswer {
         match self.issue(to, service) {
             Ok(text) => {
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Serves what a caller of this host asks of a ticket.
+    /// Serves a request for a ticket from a caller of this host.
     pub fn serve(
         &self,
         text: &str,
@@ -175,35 +174,36 @@
         service: Option<&ServiceId>,
         request: TicketRequest,
     ) -> PlainAnswer {
-        let ticket = match (self.open(text, from, service), service) {
+        let ticket = match (self.verify(text, from, service), service) {
             (Ok(ticket), _) => ticket,
-            // Nothing ever ran under a key that is no ticket.
+            // No call ever ran under a key that is no ticket.
             (Err(TicketError::Malformed), Some(service)) => {
                 return self.ticket_required(from, service);
             }
-            (Err(error), _) => return PlainAnswer::from_error(&unusable(error)),
+            (Err(error), _) => return PlainAnswer::from_error(&ticket_error_response(error)),
         };
         match self.route(&ticket, from, false) {
-            Ok(Route::Local) => self.serve_here(&ticket, request),
+            Ok(Route::Local) => self.serve_local(&ticket, request),
             Ok(Route::Forward(owner)) => self.forward(text, &owner, from, request),
             Ok(Route::Refused(refusal)) => PlainAnswer::from_refusal(&refusal),
             Err(RingFull) => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
 
-    /// Serves what another host asks of a ticket; this host is the last one.
+    /// Serves a request for a ticket that another host forwarded; it is not
+    /// forwarded again.
     pub fn serve_forwarded(
         &self,
         text: &str,
         from: &TicketCaller,
         request: TicketRequest,
     ) -> PlainAnswer {
-        let ticket = match self.open(text, from, None) {
+        let ticket = match self.verify(text, from, None) {
             Ok(ticket) => ticket,
-            Err(error) => return PlainAnswer::from_error(&unusable(error)),
+            Err(error) => return PlainAnswer::from_error(&ticket_error_response(error)),
         };
         match self.route(&ticket, from, true) {
-            Ok(Route::Local) => self.serve_here(&ticket, request),
+            Ok(Route::Local) => self.serve_local(&ticket, request),
             Ok(Route::Refused(refusal)) => PlainAnswer::from_refusal(&refusal),
             Ok(Route::Forward(_)) | Err(RingFull) => {
                 PlainAnswer::from_refusal(&TicketRefusal::unreachable())
@@ -211,19 +211,19 @@
         }
     }
 
-    fn open(
+    fn verify(
         &self,
         text: &str,
         from: &TicketCaller,
         service: Option<&ServiceId>,
     ) -> Result<Ticket, TicketError> {
-        let presented = Presented {
+        let context = VerifyContext {
             caller: &from.caller,
             service,
             allowed: &from.allowed,
             now_ms: clock::now(),
         };
-        self.signer.open(text, &presented)
+        self.signer.verify(text, &context)
     }
 
     fn route(
@@ -232,49 +232,49 @@
         from: &TicketCaller,
         is_forwarded: bool,
     ) -> Result<Route, RingFull> {
-        let asked = ticket.clone();
-        let is_held_here = self.table.run(move |table, _| table.holds(&asked))?;
+        let ticket_copy = ticket.clone();
+        let is_held_here = self.table.run(move |table, _| table.holds(&ticket_copy))?;
         let now_ms = clock::now();
-        let owner = ticket.body().owner.run.clone();
-        let (holder, sighting) = self.relay.decider.query(move |gateway| {
+        let owner = ticket.body().owner.instance.clone();
+        let (holder, known_host) = self.relay.decider.query(move |gateway| {
             let holder = gateway.view().ticket_holder(&owner);
             let state = gateway.view().hosts.get(&holder.host);
-            let sighting = state.map(|state| Sighting {
+            let known_host = state.map(|state| KnownHost {
                 incarnation: state.heartbeat.incarnation,
                 first_seen_ms: state.instance_since_ms,
-                last_heard_ms: state.received_ms,
+                last_seen_ms: state.received_ms,
                 region: state.heartbeat.region.clone(),
                 peer_address: state.heartbeat.peer_address,
                 is_reachable: state.is_live(now_ms, gateway.policy()),
             });
-            (holder, sighting)
+            (holder, known_host)
         })?;
         let view = RouteView {
-            me: &self.me,
+            this_host: &self.this_host,
             started_ms: self.started_ms,
             is_held_here,
             is_forwarded,
             holder: &holder,
-            sighting: sighting.as_ref(),
+            known_host: known_host.as_ref(),
             allowed: &from.allowed,
             now_ms,
         };
         Ok(route(ticket, &view))
     }
 
-    fn serve_here(&self, ticket: &Ticket, request: TicketRequest) -> PlainAnswer {
+    fn serve_local(&self, ticket: &Ticket, request: TicketRequest) -> PlainAnswer {
         match request {
-            TicketRequest::Call(exchange, digest) => self.call(ticket, *exchange, digest),
+            TicketRequest::Call(exchange, digest) => self.begin_call(ticket, *exchange, digest),
             TicketRequest::State => self.state(ticket),
-            TicketRequest::Void => self.void(ticket),
+            TicketRequest::Cancel => self.cancel(ticket),
         }
     }
 
-    fn call(&self, ticket: &Ticket, exchange: Exchange, digest: CallDigest) -> PlainAnswer {
-        let asked = ticket.clone();
+    fn begin_call(&self, ticket: &Ticket, exchange: Exchange, digest: CallDigest) -> PlainAnswer {
+        let ticket = ticket.clone();
         let begun = self
             .table
-            .run(move |table, now_ms| table.begin(&asked, digest, Unsent::new(), now_ms));
+            .run(move |table, now_ms| table.begin(&ticket, digest, Unsent::new(), now_ms));
         match begun {
             Ok(Begin::Started { permit, unsent }) => self.run_call(exchange, permit, unsent),
             Ok(Begin::Replay(kept)) => {
@@ -285,43 +285,50 @@
         }
     }
 
-    /// Runs the one call of a ticket and records how it ended before anybody is
-    /// told.
+    /// Runs the call of a ticket and records how it ended before the response
+    /// is sent.
     fn run_call(&self, exchange: Exchange, permit: Permit, unsent: Unsent) -> PlainAnswer {
         let request = exchange.arrival.request;
         let mut sink = AnswerSink::capture(request);
         let (settlement, _) = relay::carry(&self.relay, exchange, unsent, &mut sink);
         let (refusal, claim) = match settlement {
             Settlement::Answered(sent) => {
-                let Some(answer) = sink.into_captured() else {
-                    return self.unknown(request, permit, Refusal::new(RefusalReason::NoEndpoint));
+                let Some(response) = sink.into_captured() else {
+                    return self.end_unknown(
+                        request,
+                        permit,
+                        Refusal::new(RefusalReason::NoEndpoint),
+                    );
                 };
-                let mut kept = KeptAnswer::new(answer.status, answer.body);
-                for field in answer.headers.iter() {
+                let mut kept = KeptResponse::new(response.status, response.body);
+                for field in response.headers.iter() {
                     kept = kept.with_field(&field.name, &field.value);
                 }
                 let plain = PlainAnswer::from_kept(&kept);
                 let finished = self
                     .table
-                    .run_surely(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
+                    .run_blocking(move |table, now_ms| table.finish(permit, sent, kept, now_ms));
                 if !matches!(finished, Ok(Ok(()))) {
-                    tracing::warn!(%request, "the end of a ticketed call could not be recorded");
+                    tracing::warn!(
+                        %request,
+                        "could not record the end of a ticketed call; repeats get unknown"
+                    );
                 }
                 return plain;
             }
             Settlement::GivenUp { refusal, claim, .. } => (refusal, claim),
             Settlement::CallerGone => {
                 let refusal = Refusal::new(RefusalReason::RetriesExhausted);
-                return self.unknown(request, permit, refusal);
+                return self.end_unknown(request, permit, refusal);
             }
         };
         match claim {
-            Claim::Unsent(unsent) => self.not_run(request, permit, unsent, refusal),
-            Claim::Sent(_) | Claim::Settled => self.unknown(request, permit, refusal),
+            Claim::Unsent(unsent) => self.end_not_run(request, permit, unsent, refusal),
+            Claim::Sent(_) | Claim::Settled => self.end_unknown(request, permit, refusal),
         }
     }
 
-    fn not_run(
+    fn end_not_run(
         &self,
         request: RequestId,
         permit: Permit,
@@ -330,34 +337,37 @@
     ) -> PlainAnswer {
         let closed = self
             .table
-            .run_surely(move |table, now_ms| table.give_up(permit, unsent, now_ms));
-        // Without the record, the same ticket might run later.
+            .run_blocking(move |table, now_ms| table.give_up(permit, unsent, now_ms));
+        // If this was not recorded, the call might still run under this ticket.
         let state = match closed {
             Ok(Ok(closed)) => RunState::NotRun(closed.not_run),
             _ => RunState::Unknown,
         };
-        let answer = ErrorAnswer::from_refusal(refusal, state);
-        relay::log_given_up(request, &answer);
-        PlainAnswer::from_error(&answer)
+        let response = ErrorAnswer::from_refusal(refusal, state);
+        relay::log_given_up(request, &response);
+        PlainAnswer::from_error(&response)
     }
 
-    fn unknown(&self, request: RequestId, permit: Permit, refusal: Refusal) -> PlainAnswer {
+    fn end_unknown(&self, request: RequestId, permit: Permit, refusal: Refusal) -> PlainAnswer {
         let recorded = self
             .table
-            .run_surely(move |table, now_ms| table.finish_unknown(permit, now_ms));
+            .run_blocking(move |table, now_ms| table.finish_unknown(permit, now_ms));
         if !matches!(recorded, Ok(Ok(()))) {
-            tracing::warn!(%request, "the end of a ticketed call could not be recorded");
+            tracing::warn!(
+                %request,
+                "could not record the end of a ticketed call; repeats get unknown"
+            );
         }
-        let answer = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
-        relay::log_given_up(request, &answer);
-        PlainAnswer::from_error(&answer)
+        let response = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
+        relay::log_given_up(request, &response);
+        PlainAnswer::from_error(&response)
     }
 
     fn state(&self, ticket: &Ticket) -> PlainAnswer {
-        let asked = ticket.clone();
+        let ticket = ticket.clone();
         let state = self
             .table
-            .run(move |table, now_ms| table.state(&asked, now_ms));
+            .run(move |table, now_ms| table.state(&ticket, now_ms));
         match state {
             Ok(Ok(state)) => describe_state(&state),
             Ok(Err(refusal)) => PlainAnswer::from_refusal(&refusal),
@@ -365,23 +375,24 @@
         }
     }
 
-    fn void(&self, ticket: &Ticket) -> PlainAnswer {
-        let asked = ticket.clone();
-        let voided = self
+    fn cancel(&self, ticket: &Ticket) -> PlainAnswer {
+        let ticket = ticket.clone();
+        let cancelled = self
             .table
-            .run(move |table, now_ms| table.void(&asked, now_ms));
-        match voided {
+            .run(move |table, now_ms| table.cancel(&ticket, now_ms));
+        match cancelled {
             Ok(Ok(closed)) => describe_state(&TicketState::Closed(closed)),
             Ok(Err(refusal)) => PlainAnswer::from_refusal(&refusal),
             Err(RingFull) => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
 
-    /// Asks the owner; whatever fails on the way, the call may have run.
+    /// Forwards a request to the holder; if that fails in any way, the call may
+    /// have run.
     fn forward(
         &self,
         text: &str,
-        owner: &Owner,
+        owner: &TicketOwner,
         from: &TicketCaller,
         request: TicketRequest,
     ) -> PlainAnswer {
@@ -397,7 +408,7 @@
                 let frame = Frame::GetTicketStatus { ticket, caller };
                 (frame, Vec::new(), Instant::now())
             }
-            TicketRequest::Void => {
+            TicketRequest::Cancel => {
                 let (ticket, caller) = (text.into(), from.caller.clone());
                 let frame = Frame::CancelTicket { ticket, caller };
                 (frame, Vec::new(), Instant::now())
@@ -405,58 +416,63 @@
         };
         let deadline = deadline.max(Instant::now() + Duration::from_secs(2));
         let deadline = deadline.min(Instant::now() + FORWARD_TIMEOUT);
-        match self.ask(owner, &frame, &body, deadline) {
-            Some(answer) => answer,
+        match self.send_to_holder(owner, &frame, &body, deadline) {
+            Some(response) => response,
             None => PlainAnswer::from_refusal(&TicketRefusal::unreachable()),
         }
     }
 
-    fn ask(
+    fn send_to_holder(
         &self,
-        owner: &Owner,
+        owner: &TicketOwner,
         frame: &Frame,
         body: &[u8],
         deadline: Instant,
     ) -> Option<PlainAnswer> {
         let request = PeerRequest {
-            host: &owner.run.host,
+            host: &owner.instance.host,
             address: owner.peer_address,
             frame,
             body,
-            max_response_bytes: MAX_ANSWER_BYTES,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             deadline,
         };
-        let answer = self
+        let response = self
             .relay
             .peers
             .request(&request)
             .inspect_err(|error| {
-                tracing::debug!(host = %owner.run.host, %error, "the owner did not answer");
+                tracing::debug!(
+                    host = %owner.instance.host,
+                    %error,
+                    "the holder of a ticket did not respond; the caller gets unknown"
+                );
             })
             .ok()?;
-        if answer.frame != Frame::TicketStatus {
+        if response.frame != Frame::TicketStatus {
             return None;
         }
-        postcard::from_bytes(&answer.payload).ok()
+        postcard::from_bytes(&response.payload).ok()
     }
 
-    /// Stops starting calls; the table is to go to `successor`.
-    pub fn start_handover(&self, successor: HostRun) -> bool {
+    /// Stops issuing tickets and starting calls, for a handover to `successor`;
+    /// returns whether it was possible.
+    pub fn start_handover(&self, successor: HostInstance) -> bool {
         let started = self
             .table
-            .run_surely(move |table, _| table.start_handover(successor));
+            .run_blocking(move |table, _| table.start_handover(successor));
         matches!(started, Ok(Ok(())))
     }
 
-    /// Ticketed calls in progress.
+    /// Returns the number of ticketed calls in progress.
     pub fn started_count(&self) -> usize {
-        let count = self.table.run_surely(|table, _| table.started_count());
+        let count = self.table.run_blocking(|table, _| table.started_count());
         count.unwrap_or(0)
     }
 
-    /// Empties the table into the message for the successor.
+    /// Empties the table and returns the message for the successor.
     pub fn export(&self, intents: Arc<Intents>, successor_region: RegionId) -> Option<Vec<u8>> {
-        let exported = self.table.run_surely(move |table, now_ms| {
+        let exported = self.table.run_blocking(move |table, now_ms| {
             let may_receive = |caller: &CallerId| {
                 let intent = intents.caller(caller);
                 intent.is_some_and(|intent| intent.regions.contains(&successor_region))
@@ -467,34 +483,41 @@
         postcard::to_allocvec(&*handover).ok()
     }
 
-    /// Takes over the table of a leaving host; whether it is held here now.
+    /// Imports the ticket table of a leaving host; returns whether this host
+    /// now holds its tickets.
     pub fn import(&self, bytes: &[u8]) -> bool {
         let Ok(handover) = postcard::from_bytes::<Handover>(bytes) else {
             return false;
         };
         let imported = self
             .table
-            .run_surely(move |table, now_ms| table.import(&handover, now_ms));
+            .run_blocking(move |table, now_ms| table.import(&handover, now_ms));
         match imported {
             Ok(Ok(imported)) => {
-                tracing::info!(tickets = imported.accepted, "took over a ticket table");
+                tracing::info!(
+                    tickets = imported.accepted,
+                    "imported the ticket table of a leaving host"
+                );
                 true
             }
             Ok(Err(ImportError::AlreadyImported(_))) => true,
             Ok(Err(error)) => {
-                tracing::warn!(%error, "did not take over a ticket table");
+                tracing::warn!(
+                    %error,
+                    "refused the ticket table of a leaving host; its tickets may become unknown"
+                );
                 false
             }
             Err(RingFull) => false,
         }
     }
 
-    /// Runs whose tickets are decided here.
-    pub fn held_runs(&self) -> Vec<HostRun> {
-        let held = self
+    /// Returns the owners of the tickets that this host is responsible for.
+    pub fn owners(&self) -> Vec<HostInstance> {
+        let owners = self
             .table
-            .run(|table, _| table.held().iter().cloned().collect());
-        held.unwrap_or_default()
+            .run(|table, _| table.owners().iter().cloned().collect());
+        owners.unwrap_or_default()
     }
 }
 
@@ -506,10 +529,13 @@
             RunState::Unknown.to_string()
         }
     };
-    PlainAnswer::json(200, &json!({"state": state.word(), "run_state": run_state}))
+    PlainAnswer::json(
+        200,
+        &json!({"state": state.as_str(), "run_state": run_state}),
+    )
 }
 
-fn unusable(error: TicketError) -> ErrorAnswer {
+fn ticket_error_response(error: TicketError) -> ErrorAnswer {
     ErrorAnswer::new(
         error.status(),
         "ticket_not_accepted",
