--- a/src/peer/gossip.rs
+++ b/src/peer/gossip.rs
@@ -166,7 +166,7 @@
 pub struct GossipConfig {
     /// This host.
     pub host: HostId,
-    /// Its current incarnation.
+    /// Incarnation of its current instance.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -2,7 +2,7 @@
 //!
 //! In the handshake, both sides send a random nonce and prove that they hold the
 //! cluster key. The session key is derived from both nonces, hosts and
-//! incarnations. Each frame carries a tag over its direction, its number in that
+//! incarnation numbers. Each frame carries a tag over its direction, its number in that
 //! direction and its content, so that frames cannot be forged, replayed, reordered
 //! or moved between connections.
 //!
@@ -144,12 +144,12 @@
     pub error: LinkError,
 }
 
-/// A host and its current incarnation.
+/// A host and its current instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerIdentity {
     /// The host.
     pub host: HostId,
-    /// Its incarnation.
+    /// Incarnation of that instance.
     pub incarnation: Incarnation,
 }
 
--- a/src/peer/store.rs
+++ b/src/peer/store.rs
@@ -2,7 +2,7 @@
 //!
 //! A record is replaced only by a newer one of the same subject. Heartbeats are
 //! ordered by their sequence, which is the sender's clock and therefore also orders
-//! the incarnations of one host. Reports and summaries are ordered by their time.
+//! the instances of one host. Reports and summaries are ordered by their time.
 
 use std::{
     collections::{
@@ -83,7 +83,7 @@
 pub struct HostRecord {
     /// Newest full heartbeat.
     pub heartbeat: Heartbeat,
-    /// Short identifier of this incarnation.
+    /// Short identifier of this instance.
     pub id: ShortId,
     /// Newest heartbeat sequence, from full or compact heartbeats.
     pub newest_sequence: u64,
@@ -136,7 +136,7 @@
 pub struct EndpointRecord {
     /// Newest report.
     pub report: EndpointReport,
-    /// Short identifier of this incarnation.
+    /// Short identifier of this instance.
     pub id: ShortId,
     /// When the newest report was received or measured.
     pub last_received_ms: Millis,
@@ -289,7 +289,7 @@
     }
 
     /// Applies a full report unless a newer one is known; returns true if the
-    /// endpoint, its incarnation or its leaving state is new.
+    /// endpoint, its instance or its leaving state is new.
     pub fn apply_report(
         &mut self,
         now_ms: Millis,
@@ -301,7 +301,7 @@
             return false;
         }
         let same_run = known.filter(|known| known.report.incarnation == report.incarnation);
-        // A leaving endpoint stays leaving for the rest of its incarnation, also when
+        // A leaving endpoint stays leaving for the rest of its instance, also when
         // a host that has not detected it yet reports a later measurement.
         report.is_leaving |= same_run.is_some_and(|known| known.report.is_leaving);
         let is_changed = same_run.is_none_or(|k| k.report.is_leaving != report.is_leaving);
@@ -482,12 +482,12 @@
     }
 }
 
-/// Returns the short identifier of one incarnation of a host.
+/// Returns the short identifier of one instance of a host.
 pub fn host_short_id(host: &HostId, incarnation: Incarnation) -> ShortId {
     short_id("host", host.as_str(), incarnation)
 }
 
-/// Returns the short identifier of one incarnation of an endpoint.
+/// Returns the short identifier of one instance of an endpoint.
 pub fn endpoint_short_id(endpoint: &EndpointId, incarnation: Incarnation) -> ShortId {
     short_id("endpoint", endpoint.as_str(), incarnation)
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -5,9 +5,9 @@
 //! body is decoded, so only bytes written by a holder of the key are
 //! decoded.
 //!
-//! A sender numbers the datagrams of one incarnation (one run of its process)
-//! from 1 and adds a timestamp of its clock to each. Incarnations are random, so
-//! the timestamps order the incarnations of one host. A receiver keeps a window of
+//! A sender numbers the datagrams of one instance (one process lifetime)
+//! from 1 and adds a timestamp of its clock to each. Incarnation numbers are random, so
+//! the timestamps order the instances of one host. A receiver keeps a window of
 //! sequence numbers for each host, twice as long as the largest accepted age of a
 //! timestamp. A replayed datagram is therefore either in the window or too old,
 //! and is refused in both cases.
@@ -97,12 +97,12 @@
         /// Its sequence number.
         sequence: u64,
     },
-    /// A datagram of a newer incarnation of the host was received before.
-    #[error("datagram comes from the previous incarnation {incarnation} of host {sender}")]
+    /// A datagram of a newer instance of the host was received before.
+    #[error("datagram comes from a previous instance of host {sender}, incarnation {incarnation}")]
     OldIncarnation {
         /// The host that wrote it.
         sender: HostId,
-        /// Its previous incarnation.
+        /// Incarnation of the previous instance.
         incarnation: Incarnation,
     },
     /// The timestamp is too far from the local clock.
@@ -216,7 +216,7 @@
 /// Newest heartbeat of a host, reduced to the fields that change often.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactHeartbeat {
-    /// Identifies the host and its incarnation.
+    /// Identifies the host and its instance.
     pub id: ShortId,
     /// Heartbeat sequence, in ticks before the datagram's timestamp.
     pub age_ticks: i64,
@@ -229,7 +229,7 @@
 /// Newest report of an endpoint, reduced to its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactReport {
-    /// Identifies the endpoint and its incarnation.
+    /// Identifies the endpoint and its instance.
     pub id: ShortId,
     /// When it was measured, in ticks before the datagram's timestamp.
     pub age_ticks: i64,
@@ -276,9 +276,9 @@
 pub struct DatagramHeader {
     /// The host that wrote it.
     pub sender: HostId,
-    /// Its current incarnation.
+    /// Incarnation of its current instance.
     pub incarnation: Incarnation,
-    /// Counts the datagrams of this incarnation from 1.
+    /// Counts the datagrams of this instance from 1.
     pub sequence: u64,
     /// When it was sent, by the sender's clock.
     pub sent_ms: Millis,
@@ -293,7 +293,7 @@
     pub body: DatagramBody,
 }
 
-/// Encodes and tags the datagrams of one incarnation.
+/// Encodes and tags the datagrams of one instance.
 #[derive(Debug)]
 pub struct DatagramEncoder {
     key: ClusterKey,
@@ -365,7 +365,7 @@
     pub malformed: u64,
     /// Received before, or with a sequence number below the window.
     pub replayed: u64,
-    /// From a previous incarnation of the host.
+    /// From a previous instance of the host.
     pub old_incarnation: u64,
     /// With a timestamp too far from the local clock.
     pub clock_skew: u64,
@@ -398,7 +398,7 @@
     }
 }
 
-/// Sequence numbers received from the newest incarnation of one host.
+/// Sequence numbers received from the newest instance of one host.
 #[derive(Debug)]
 struct ReplayWindow {
     incarnation: Incarnation,
--- a/tests/peer_gossip.rs
+++ b/tests/peer_gossip.rs
@@ -326,17 +326,17 @@
 }
 
 #[test]
-fn a_leaving_endpoint_stays_leaving_until_its_next_incarnation() {
+fn a_leaving_endpoint_stays_leaving_until_its_next_instance() {
     let mut net = Net::new(&["stred"], 2, 1);
     let gossip = &mut net.nodes[0].gossip;
     let mut leaving = report("e", START_MS);
     leaving.is_leaving = true;
     let outdated_report = report("e", START_MS + Millis(500));
-    let mut next_incarnation = report("e", START_MS + Millis(900));
-    next_incarnation.incarnation = Incarnation(2);
+    let mut next_instance = report("e", START_MS + Millis(900));
+    next_instance.incarnation = Incarnation(2);
     let mut events = Vec::new();
 
-    for report in [leaving, outdated_report, next_incarnation] {
+    for report in [leaving, outdated_report, next_instance] {
         gossip.apply_local_report(START_MS, report, &mut events);
     }
 
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_restarted_host_replaces_its_previous_incarnation() {
+fn a_restarted_host_replaces_its_previous_instance() {
     let mut net = Net::new(&["stred"], 6, 4);
     net.run(5_000);
     let mut own = net.nodes[2].heartbeat.clone();
--- a/tests/peer_wire.rs
+++ b/tests/peer_wire.rs
@@ -1,5 +1,5 @@
 //! Guards against datagrams that crash a host, or that it accepts although they are
-//! damaged, forged, replayed or from a previous incarnation.
+//! damaged, forged, replayed or from a previous instance.
 
 use cardamombridge::{
     peer::wire::{
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_previous_incarnation_is_refused_after_a_datagram_of_a_newer_one() {
+fn a_previous_instance_is_refused_after_a_datagram_of_a_newer_one() {
     let mut decoder = decoder();
     let mut previous = encoder("a", 9);
     let mut newer = encoder("a", 3);
@@ -123,10 +123,10 @@
 
     decoder
         .decode(NOW_MS, &first)
-        .expect("first incarnation accepted");
+        .expect("first instance accepted");
     decoder
         .decode(NOW_MS, &second)
-        .expect("newer incarnation accepted");
+        .expect("newer instance accepted");
 
     let result = decoder.decode(NOW_MS, &delayed);
     assert!(matches!(result, Err(WireError::OldIncarnation { .. })));
