--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -15,7 +15,7 @@
 //! issued --begin--> started --finish---------> finished (response kept)
 //!   |  ^               | |----finish_unknown-> unknown
 //!   |  '---release-----' '----give_up--------> closed (given up)
-//!   |----void--------------------------------> closed (voided)
+//!   |----cancel------------------------------> closed (cancelled)
 //!   '----expiry------------------------------> closed (expired)
 //! ```
 //!
@@ -39,12 +39,12 @@
 //! 3. With one, [`verify`] it; on failure respond with
 //!    [`TicketError::status`] and [`TicketError::run_state`]. A key that is no
 //!    ticket is 428 as well and gets a new ticket.
-//! 4. Call [`route`]. It selects the ticket's holder, the instance that decides
-//!    it now, or returns a refusal. A forwarding host passes on the holder's
-//!    response. If that is missing or incomplete the forwarding host responds
-//!    with [`TicketRefusal::unreachable`], also if it could not connect: an earlier
-//!    copy of the call may have arrived. It must never turn its own
-//!    [`Unsent`] into `not_run`.
+//! 4. Call [`route`]. It selects the ticket's holder, the instance that is
+//!    responsible for it now, or returns a refusal. A forwarding host passes on
+//!    the holder's response. If that is missing or incomplete the forwarding
+//!    host responds with [`TicketRefusal::unreachable`], also if it could not
+//!    connect: an earlier copy of the call may have arrived. It must never turn
+//!    its own [`Unsent`] into `not_run`.
 //!
 //! At the holder, `route` is called again with `is_forwarded`, and then:
 //!
@@ -81,7 +81,7 @@
 //! | started | 409 | `unknown` | 1 s |
 //! | finished, response kept | as kept, `Idempotent-Replayed: true` | | |
 //! | finished, response not kept | 409 | `unknown` | |
-//! | closed: voided, expired or given up | 410 with a new ticket | `not_run` | |
+//! | closed: cancelled (`voided`), expired or given up | 410 with a new ticket | `not_run` | |
 //! | unknown | 409 | `unknown` | |
 //! | bound to a call with another digest | 409 | `unknown` | |
 //! | issued, host is leaving | 503 | `unknown` | 3 s, same ticket |
@@ -93,19 +93,19 @@
 //! a caller that builds its body again for a repeat would take that as the
 //! outcome of its first call. `GET /v1/tickets/TICKET` returns 200 with
 //! [`TicketState::as_str`](table::TicketState::as_str), `DELETE` returns 200
-//! `not_run` if [`void`] succeeds.
+//! `not_run` if [`cancel`] succeeds.
 //!
 //! # Handover at shutdown
 //!
 //! [`start_handover`] names the successor and stops issuing tickets and
 //! starting calls. When [`started_count`] is zero or the drain limit is
-//! reached, [`export`] makes the message; from then on this instance decides
-//! nothing. The message may be sent any number of times, and `AlreadyImported`
-//! in return counts as success. The successor announces [`owners`] with its
-//! heartbeats. If the message is lost, or arrives later than
-//! [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets are unknown.
-//! The message must be authenticated, because an import relies on the exporter
-//! having stopped deciding its tickets.
+//! reached, [`export`] makes the message; from then on this instance is
+//! responsible for no tickets. The message may be sent any number of times, and
+//! `AlreadyImported` in return counts as success. The successor announces
+//! [`owners`] with its heartbeats. If the message is lost, or arrives later
+//! than [`HANDOVER_VALID_MS`](handover::HANDOVER_VALID_MS), its tickets are
+//! unknown. The message must be authenticated, because an import relies on the
+//! exporter having given up its tickets.
 //!
 //! [`AllowedRegions`]: crate::decision::residency::AllowedRegions
 //! [`Begin::Started`]: table::Begin::Started
@@ -118,6 +118,7 @@
 //! [`Unsent::mark_sent`]: crate::outcome::Unsent::mark_sent
 //! [`Unsent`]: crate::outcome::Unsent
 //! [`begin`]: table::TicketTable::begin
+//! [`cancel`]: table::TicketTable::cancel
 //! [`export`]: table::TicketTable::export
 //! [`finish_unknown`]: table::TicketTable::finish_unknown
 //! [`finish`]: table::TicketTable::finish
@@ -129,7 +130,6 @@
 //! [`start_handover`]: table::TicketTable::start_handover
 //! [`started_count`]: table::TicketTable::started_count
 //! [`verify`]: token::TicketSigner::verify
-//! [`void`]: table::TicketTable::void
 
 pub mod call;
 pub mod handover;
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -211,7 +211,7 @@
             Self::Started => "started",
             Self::Finished(_) => "finished",
             Self::Closed(closed) => match closed.reason {
-                ClosedReason::Voided => "voided",
+                ClosedReason::Cancelled => "voided",
                 ClosedReason::Expired => "expired",
                 ClosedReason::GivenUp => "given_up",
             },
@@ -331,14 +331,14 @@
             .count()
     }
 
-    /// Returns the owners of the tickets that this table decides, for the
-    /// heartbeat: this instance and those whose tickets it has imported; none
-    /// after the export.
+    /// Returns the owners of the tickets that this table is responsible for,
+    /// for the heartbeat: this instance and those whose tickets it has
+    /// imported; none after the export.
     pub fn owners(&self) -> &BTreeSet<HostInstance> {
         &self.owners
     }
 
-    /// Returns whether this table decides the state of `ticket`.
+    /// Returns whether this table is responsible for `ticket`.
     pub fn holds(&self, ticket: &Ticket) -> bool {
         self.owners.contains(&ticket.body().owner.instance)
     }
@@ -497,8 +497,8 @@
         Ok(())
     }
 
-    /// Returns a call of which no byte was sent to the state issued, so that it
-    /// can start again.
+    /// Ends a call of which no byte was sent and returns its ticket to the
+    /// state issued, so that the call can start again.
     ///
     /// This must not be reported as `not_run`, because the same ticket may run
     /// later. A ticket that has expired meanwhile is closed.
@@ -552,27 +552,27 @@
         }
     }
 
-    /// Voids a ticket whose call has not started, so that it never runs.
-    pub fn void(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
+    /// Cancels a ticket whose call has not started, so that it never runs.
+    pub fn cancel(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<Closed, TicketRefusal> {
         self.advance(now_ms);
         self.find(ticket)?;
         let unknown = TicketRefusal::new(TicketRefusalReason::Unknown);
         let entry = self.entries.get_mut(&ticket.body().id).ok_or(unknown)?;
         match std::mem::replace(&mut entry.state, State::Unknown) {
             State::Issued(unsent) => {
-                let closed = Closed::new(ClosedReason::Voided, unsent);
+                let closed = Closed::new(ClosedReason::Cancelled, unsent);
                 entry.state = State::Closed(closed);
                 Ok(closed)
             }
             before => {
                 entry.state = before;
-                refuse_void(&entry.state)
+                refuse_cancel(&entry.state)
             }
         }
     }
 
-    /// Returns the state of a ticket, or a refusal if this table does not
-    /// decide it.
+    /// Returns the state of a ticket, or a refusal if this table is not
+    /// responsible for it.
     pub fn state(&mut self, ticket: &Ticket, now_ms: Millis) -> Result<TicketState, TicketRefusal> {
         self.advance(now_ms);
         let entry = self.find(ticket)?;
@@ -609,10 +609,10 @@
     ///
     /// Calls that are still in progress become unknown, so wait for
     /// [`started_count`](Self::started_count) to reach zero first, up to the
-    /// drain limit. From then on this table decides nothing. A further export
-    /// returns the same message, so that it can be sent again. Tickets of
-    /// callers for which `may_receive` is false, because their data must not
-    /// reach the successor, are left out and become unknown.
+    /// drain limit. From then on this table is responsible for no tickets. A
+    /// further export returns the same message, so that it can be sent again.
+    /// Tickets of callers for which `may_receive` is false, because their data
+    /// must not reach the successor, are left out and become unknown.
     pub fn export<F>(
         &mut self,
         may_receive: F,
@@ -704,9 +704,7 @@
     fn insert_imported(&mut self, ticket: &HandoverTicket) {
         let is_of_this_host = ticket.body.owner.instance.host == self.this_host.instance.host;
         let state = match &ticket.state {
-            HandoverState::Finished(response) => {
-                State::Finished(self.keep_imported(response.as_ref()))
-            }
+            HandoverState::Finished(kept) => State::Finished(self.keep_imported(kept.as_ref())),
             _ if is_of_this_host => State::Unknown,
             // The exporter dropped its own `Unsent` with the export.
             HandoverState::Issued => State::Issued(Unsent::new()),
@@ -821,7 +819,7 @@
     Begin::Refused(TicketRefusal::new(reason))
 }
 
-fn refuse_void(state: &State) -> Result<Closed, TicketRefusal> {
+fn refuse_cancel(state: &State) -> Result<Closed, TicketRefusal> {
     match state {
         State::Closed(closed) => Ok(*closed),
         State::Started => Err(TicketRefusal::in_progress()),
