--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -59,7 +59,7 @@
         Exchange,
         RelayContext, //
     },
-    sink::AnswerSink,
+    sink::ResponseSink,
     ticketed_calls::{
         TICKET_FIELD,
         TicketCaller,
@@ -167,8 +167,8 @@
         MessageError::Closed | MessageError::Io(_) => return,
     };
     let answer = not_run(status, code, &error.to_string());
-    let mut sink = AnswerSink::new(connection, new_request_id()).with_closing(true);
-    sink.give_up(&answer);
+    let mut sink = ResponseSink::new(connection, new_request_id()).with_closing(true);
+    sink.write_error(&answer);
 }
 
 /// Serves one request; returns the connection if another one may follow.
@@ -183,7 +183,7 @@
     let is_closing = !head.keeps_alive() || context.is_leaving.load(Ordering::Acquire);
     match prepare(context, &mut connection, id, head) {
         Ok(Prepared::Exchange(exchange, promise)) => {
-            let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
+            let mut sink = ResponseSink::new(connection, id).with_closing(is_closing);
             let caller = exchange.arrival.caller.clone();
             let (ending, delivered) = relay::run(&context.relay, *exchange, &mut sink);
             let first_token = delivered.first_token_at;
@@ -199,9 +199,9 @@
             sink.into_connection()
         }
         Ok(Prepared::Answer(answer)) => {
-            let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
+            let mut sink = ResponseSink::new(connection, id).with_closing(is_closing);
             // A caller that does not take its answer has closed the connection.
-            let _ = sink.whole(answer.status, answer.to_headers(), &answer.body);
+            let _ = sink.write_response(answer.status, answer.to_headers(), &answer.body);
             sink.into_connection()
         }
         Ok(Prepared::Ticketed(call)) => {
@@ -219,21 +219,21 @@
                     cached: Tokens(0),
                 });
             }
-            let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
-            let _ = sink.whole(answer.status, answer.to_headers(), &answer.body);
+            let mut sink = ResponseSink::new(connection, id).with_closing(is_closing);
+            let _ = sink.write_response(answer.status, answer.to_headers(), &answer.body);
             sink.into_connection()
         }
         Err(answer) if has_ticket => {
             // An earlier request with the ticket may have run its call, and only
             // the owner of the ticket knows.
-            let mut sink = AnswerSink::new(connection, id).with_closing(true);
-            sink.give_up(&answer.with_run_state(RunState::Unknown));
+            let mut sink = ResponseSink::new(connection, id).with_closing(true);
+            sink.write_error(&answer.with_run_state(RunState::Unknown));
             None
         }
         Err(answer) => {
             // The body may be unread, so no other request can follow.
-            let mut sink = AnswerSink::new(connection, id).with_closing(true);
-            sink.give_up(&answer);
+            let mut sink = ResponseSink::new(connection, id).with_closing(true);
+            sink.write_error(&answer);
             None
         }
     }
--- a/src/caller/routes.rs
+++ b/src/caller/routes.rs
@@ -32,7 +32,7 @@
         residency::AllowedRegions, //
     },
     http::{
-        client::Call,
+        client::HttpRequest,
         connection::Connection,
         message::{
             Headers,
@@ -153,7 +153,7 @@
         origin: Origin::Caller,
     };
     let digest = CallDigest::new(&request.head.method, &request.head.path, &body);
-    let call = Call {
+    let call = HttpRequest {
         method: request.head.method.clone(),
         path,
         headers: forwarded_headers(&request.head.headers, request.id),
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -84,7 +84,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         message::Headers, //
     },
@@ -138,8 +138,8 @@
             HostInstance,
             TicketId,
             TicketOwner,
-            TicketSigner, //
-            VerifyContext,
+            TicketSigner,
+            VerifyContext, //
         }, //
     },
     types::{
@@ -1424,7 +1424,7 @@
     const MAX_BYTES: usize = 16 * 1024 * 1024;
     let deadline = Instant::now() + TIMEOUT;
     let mut connection = client::connect(platform, TIMEOUT)?;
-    let call = Call {
+    let call = HttpRequest {
         method: "GET".into(),
         path: format!("/v1/health/service/{ENDPOINT_SERVICE}").into(),
         headers: Headers::new(),
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -38,8 +38,8 @@
     http::{
         client::{
             self,
-            Answer,
-            Call, //
+            HttpRequest,
+            HttpResponse, //
         },
         message::Headers, //
     },
@@ -445,12 +445,12 @@
     })
 }
 
-fn open(host: SocketAddr, request: &Request, deadline: Instant) -> anyhow::Result<Answer> {
+fn open(host: SocketAddr, request: &Request, deadline: Instant) -> anyhow::Result<HttpResponse> {
     let mut headers = Headers::new().with_field("authorization", &format!("Bearer {CALLER_KEY}"));
     if let Some(ticket) = &request.ticket {
         headers.push("idempotency-key", ticket);
     }
-    let call = Call {
+    let call = HttpRequest {
         method: request.method.into(),
         path: request.path.as_str().into(),
         headers,
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -5,7 +5,7 @@
     RequestHead,
     ResponseHead, //
 };
-use crate::http::message::reason;
+use crate::http::message::reason_phrase;
 
 /// Header by which a host states that a request was not run.
 pub const NOT_RUN_HEADER: &str = "Bridge-Not-Run";
@@ -56,7 +56,7 @@
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         body.len()
     );
     if let Some(retry_ms) = response.retry_after_ms {
--- a/src/host/parts.rs
+++ b/src/host/parts.rs
@@ -53,7 +53,7 @@
     },
     relay::RelayContext,
     sample::Sampler,
-    sink::AnswerSink,
+    sink::ResponseSink,
     ticket::{
         table::TicketTable,
         token::{
@@ -186,7 +186,7 @@
     let state = RunState::NotRun(Unsent::new().give_up());
     let refusal = Refusal::new(RefusalReason::Overloaded).with_retry_after(OVERLOAD_RETRY_AFTER_MS);
     let answer = ErrorAnswer::from_refusal(refusal, state);
-    AnswerSink::new(connection, RequestId::default())
+    ResponseSink::new(connection, RequestId::default())
         .with_closing(true)
-        .give_up(&answer);
+        .write_error(&answer);
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -26,7 +26,7 @@
 
 /// A request that is ready to be written.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct HttpRequest {
     /// Method, such as `POST`.
     pub method: compact_str::CompactString,
     /// Path and query.
@@ -39,7 +39,7 @@
 
 /// A response whose head has been read.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status and fields.
     pub head: ResponseHead,
     /// Reads the body from `connection`.
@@ -57,7 +57,7 @@
 /// Writes the whole call; an error means that part of it may have arrived.
 pub fn send(
     connection: &mut Connection,
-    call: &Call,
+    call: &HttpRequest,
     deadline: Instant,
 ) -> Result<(), MessageError> {
     let host = connection.stream().peer_addr()?;
@@ -75,10 +75,13 @@
 }
 
 /// Reads the head of the answer to a call that was sent.
-pub fn receive(mut connection: Connection, deadline: Instant) -> Result<Answer, MessageError> {
+pub fn receive(
+    mut connection: Connection,
+    deadline: Instant,
+) -> Result<HttpResponse, MessageError> {
     let head = connection.read_response_head(deadline)?;
     let body = BodyReader::new(head.framing()?);
-    Ok(Answer {
+    Ok(HttpResponse {
         head,
         body,
         connection,
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -24,7 +24,7 @@
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Longest line that announces a chunk.
 const MAX_CHUNK_LINE_BYTES: usize = 128;
-const READ_BYTES: usize = 16 * 1024;
+const READ_SIZE_BYTES: usize = 16 * 1024;
 /// The kernel rejects a timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
@@ -89,8 +89,8 @@
             }
             self.check_head_size()?;
             if self.fill(deadline)? == 0 {
-                let is_between_requests = !self.has_unread_bytes();
-                return if is_between_requests {
+                let is_clean_close = !self.has_unread_bytes();
+                return if is_clean_close {
                     Ok(None)
                 } else {
                     Err(MessageError::Closed)
@@ -107,7 +107,7 @@
                 return Ok(head);
             }
             self.check_head_size()?;
-            self.fill_some(deadline)?;
+            self.fill_or_fail(deadline)?;
         }
     }
 
@@ -139,15 +139,15 @@
             self.consumed = 0;
         }
         self.stream.set_read_timeout(Some(remaining(deadline)?))?;
-        let old_length = self.buffer.len();
-        self.buffer.resize(old_length + READ_BYTES, 0);
-        let result = self.stream.read(&mut self.buffer[old_length..]);
+        let previous_length = self.buffer.len();
+        self.buffer.resize(previous_length + READ_SIZE_BYTES, 0);
+        let result = self.stream.read(&mut self.buffer[previous_length..]);
         self.buffer
-            .truncate(old_length + result.as_ref().copied().unwrap_or(0));
+            .truncate(previous_length + result.as_ref().copied().unwrap_or(0));
         result.map_err(from_io)
     }
 
-    fn fill_some(&mut self, deadline: Instant) -> Result<(), MessageError> {
+    fn fill_or_fail(&mut self, deadline: Instant) -> Result<(), MessageError> {
         match self.fill(deadline)? {
             0 => Err(MessageError::Closed),
             _ => Ok(()),
@@ -159,7 +159,7 @@
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    left_in_chunk: u64,
+    remaining_bytes: u64,
     is_first_chunk: bool,
     is_complete: bool,
 }
@@ -169,7 +169,7 @@
     pub fn new(framing: Framing) -> Self {
         Self {
             framing,
-            left_in_chunk: match framing {
+            remaining_bytes: match framing {
                 Framing::Length(length) => length,
                 Framing::Chunked | Framing::UntilClose => 0,
             },
@@ -196,7 +196,7 @@
             return Ok(0);
         }
         match self.framing {
-            Framing::Length(_) => self.read_counted(connection, out, deadline),
+            Framing::Length(_) => self.read_fixed_length(connection, out, deadline),
             Framing::Chunked => self.read_chunked(connection, out, deadline),
             Framing::UntilClose => self.read_until_close(connection, out, deadline),
         }
@@ -225,18 +225,18 @@
         Ok(body)
     }
 
-    fn read_counted(
+    fn read_fixed_length(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
         deadline: Instant,
     ) -> Result<usize, MessageError> {
         if !connection.has_unread_bytes() {
-            connection.fill_some(deadline)?;
+            connection.fill_or_fail(deadline)?;
         }
-        let count = take(connection, self.left_in_chunk, out);
-        self.left_in_chunk -= count as u64;
-        self.is_complete = self.left_in_chunk == 0;
+        let count = take_unread(connection, self.remaining_bytes, out);
+        self.remaining_bytes -= count as u64;
+        self.is_complete = self.remaining_bytes == 0;
         Ok(count)
     }
 
@@ -250,7 +250,7 @@
             self.is_complete = true;
             return Ok(0);
         }
-        Ok(take(connection, u64::MAX, out))
+        Ok(take_unread(connection, u64::MAX, out))
     }
 
     fn read_chunked(
@@ -259,17 +259,17 @@
         out: &mut Vec<u8>,
         deadline: Instant,
     ) -> Result<usize, MessageError> {
-        if self.left_in_chunk == 0 {
+        if self.remaining_bytes == 0 {
             self.read_chunk_line(connection, deadline)?;
         }
         if self.is_complete {
             return Ok(0);
         }
         if !connection.has_unread_bytes() {
-            connection.fill_some(deadline)?;
+            connection.fill_or_fail(deadline)?;
         }
-        let count = take(connection, self.left_in_chunk, out);
-        self.left_in_chunk -= count as u64;
+        let count = take_unread(connection, self.remaining_bytes, out);
+        self.remaining_bytes -= count as u64;
         Ok(count)
     }
 
@@ -280,29 +280,29 @@
     ) -> Result<(), MessageError> {
         // The line end that closes the previous chunk is read with the next
         // size, so that a piece is passed on as soon as it is there.
-        let skipped = if self.is_first_chunk { 0 } else { 2 };
+        let line_end_bytes = if self.is_first_chunk { 0 } else { 2 };
         loop {
             let bytes = connection.unread();
-            if bytes.len() > skipped {
-                if !b"\r\n"[..].starts_with(&bytes[..skipped]) {
+            if bytes.len() > line_end_bytes {
+                if !b"\r\n"[..].starts_with(&bytes[..line_end_bytes]) {
                     return Err(MessageError::Malformed("chunk without line end"));
                 }
-                match httparse::parse_chunk_size(&bytes[skipped..]) {
+                match httparse::parse_chunk_size(&bytes[line_end_bytes..]) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         let is_last = size == 0;
                         if !is_last {
-                            connection.consume(skipped + used);
-                            self.left_in_chunk = size;
+                            connection.consume(line_end_bytes + used);
+                            self.remaining_bytes = size;
                             self.is_first_chunk = false;
                             return Ok(());
                         }
                         // Trailers are not used; only the empty one is accepted.
-                        let end = &bytes[skipped + used..];
+                        let end = &bytes[line_end_bytes + used..];
                         if end.len() >= 2 {
                             if !end.starts_with(b"\r\n") {
                                 return Err(MessageError::Malformed("unexpected trailer"));
                             }
-                            connection.consume(skipped + used + 2);
+                            connection.consume(line_end_bytes + used + 2);
                             self.is_complete = true;
                             return Ok(());
                         }
@@ -315,12 +315,12 @@
                     Err(_) => return Err(MessageError::Malformed("invalid chunk size")),
                 }
             }
-            connection.fill_some(deadline)?;
+            connection.fill_or_fail(deadline)?;
         }
     }
 }
 
-fn take(connection: &mut Connection, limit: u64, out: &mut Vec<u8>) -> usize {
+fn take_unread(connection: &mut Connection, limit: u64, out: &mut Vec<u8>) -> usize {
     let available = connection.unread().len() as u64;
     let count = available.min(limit) as usize;
     out.extend_from_slice(&connection.unread()[..count]);
@@ -329,11 +329,11 @@
 }
 
 fn remaining(deadline: Instant) -> Result<Duration, MessageError> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+    let remaining_time = deadline.saturating_duration_since(Instant::now());
+    if remaining_time.is_zero() {
         return Err(MessageError::TimedOut);
     }
-    Ok(left.max(MIN_TIMEOUT))
+    Ok(remaining_time.max(MIN_TIMEOUT))
 }
 
 fn from_io(error: io::Error) -> MessageError {
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -145,7 +145,7 @@
         let length = match parsed.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(error) => return Err(describe(error)),
+            Err(error) => return Err(map_parse_error(error)),
         };
         let head = Self {
             method: CompactString::from(parsed.method.unwrap_or_default()),
@@ -176,7 +176,7 @@
         let length = match parsed.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(error) => return Err(describe(error)),
+            Err(error) => return Err(map_parse_error(error)),
         };
         let head = Self {
             status: parsed.code.unwrap_or_default(),
@@ -195,7 +195,11 @@
 
     /// The head as it is sent.
     pub fn encode(&self) -> String {
-        let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut text = format!(
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
         write_fields(&mut text, &self.headers);
         text
     }
@@ -235,7 +239,7 @@
     Ok(Some(Framing::Length(length)))
 }
 
-fn describe(error: httparse::Error) -> MessageError {
+fn map_parse_error(error: httparse::Error) -> MessageError {
     MessageError::Malformed(match error {
         httparse::Error::HeaderName => "invalid header name",
         httparse::Error::HeaderValue => "invalid header value",
@@ -248,7 +252,7 @@
 }
 
 /// The reason phrase of a status code.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -66,7 +66,7 @@
         let serve = Arc::new(serve);
         while !self.is_stopping.load(Ordering::Acquire) {
             match listener.accept() {
-                Ok((stream, peer)) => self.start(stream, peer, &serve, &refuse),
+                Ok((stream, peer)) => self.start_connection(stream, peer, &serve, &refuse),
                 Err(error) => {
                     tracing::warn!(%error, "could not accept a connection");
                     thread::sleep(ACCEPT_RETRY_DELAY);
@@ -84,8 +84,13 @@
         }
     }
 
-    fn start<S, R>(&self, stream: TcpStream, peer: SocketAddr, serve: &Arc<S>, refuse: &R)
-    where
+    fn start_connection<S, R>(
+        &self,
+        stream: TcpStream,
+        peer: SocketAddr,
+        serve: &Arc<S>,
+        refuse: &R,
+    ) where
         S: Fn(Connection, SocketAddr) + Send + Sync + 'static,
         R: Fn(Connection),
     {
@@ -96,32 +101,32 @@
             refuse(connection);
             return;
         }
-        let slot = ConnectionSlot::take(&self.open_connections);
+        let guard = OpenConnectionGuard::new(&self.open_connections);
         let serve = Arc::clone(serve);
-        let started = thread::Builder::new()
+        let spawned = thread::Builder::new()
             .name("connection".into())
             .stack_size(CONNECTION_STACK_BYTES)
             .spawn(move || {
-                let _slot = slot;
+                let _guard = guard;
                 serve(connection, peer);
             });
-        if let Err(error) = started {
+        if let Err(error) = spawned {
             tracing::warn!(%error, "could not start a connection thread");
         }
     }
 }
 
 /// Counts one open connection until it is dropped, also after a panic.
-struct ConnectionSlot(Arc<AtomicUsize>);
+struct OpenConnectionGuard(Arc<AtomicUsize>);
 
-impl ConnectionSlot {
-    fn take(open_connections: &Arc<AtomicUsize>) -> Self {
+impl OpenConnectionGuard {
+    fn new(open_connections: &Arc<AtomicUsize>) -> Self {
         open_connections.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(open_connections))
     }
 }
 
-impl Drop for ConnectionSlot {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/load.rs
+++ b/src/load.rs
@@ -45,7 +45,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         message::{
             Headers,
@@ -385,7 +385,7 @@
 }
 
 fn read_stream(
-    answer: &mut client::Answer,
+    answer: &mut client::HttpResponse,
     one: Planned,
     deadline: Instant,
 ) -> Result<Timing, LoadError> {
@@ -435,7 +435,7 @@
     text.is_some_and(|text| !text.is_empty())
 }
 
-fn call(question: &Question, one: Planned) -> Call {
+fn call(question: &Question, one: Planned) -> HttpRequest {
     let target = &question.target;
     // Pairs of one host request and one direct request ask the same question.
     let prompt = format!("load question {}", one.number / 2);
@@ -445,7 +445,7 @@
         "max_tokens": question.max_tokens,
         "stream": one.is_stream(),
     });
-    Call {
+    HttpRequest {
         method: "POST".into(),
         path: "/v1/chat/completions".into(),
         headers: Headers::new()
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -24,7 +24,7 @@
         },
         residency::AllowedRegions, //
     },
-    http::client::Call,
+    http::client::HttpRequest,
     in_force::InForceCell,
     openai::ChatRequest,
     outcome::{
@@ -50,7 +50,7 @@
         RelayContext,
         Settlement, //
     },
-    sink::AnswerSink,
+    sink::ResponseSink,
     ticket::call::CallDigest,
     ticketed_calls::{
         TicketCaller,
@@ -149,7 +149,7 @@
         let refusal = Refusal::new(RefusalReason::UnknownTarget);
         return refuse(exchange, refusal, RunState::NotRun(unsent.give_up()));
     };
-    let mut sink = AnswerSink::to_host(exchange, request);
+    let mut sink = ResponseSink::for_host(exchange, request);
     let (settlement, _) = relay::carry(&context.relay, work, unsent, &mut sink);
     match settlement {
         Settlement::Answered(_) => Ok(()),
@@ -265,7 +265,7 @@
             needs_continuation = chat.needs_continuation();
             Payload::Chat(Box::new(chat))
         }
-        Target::Service(_) => Payload::Service(Call {
+        Target::Service(_) => Payload::Service(HttpRequest {
             method: head.method,
             path: head.path,
             headers: upstream::from_fields(&head.headers),
--- a/src/poller.rs
+++ b/src/poller.rs
@@ -42,7 +42,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         message::{
             Headers,
@@ -310,7 +310,7 @@
 ) -> Result<(u16, Vec<u8>), PollError> {
     let exchange = || {
         let mut connection = client::connect(info.address, timeout)?;
-        let call = Call {
+        let call = HttpRequest {
             method: "GET".into(),
             path: path.into(),
             headers: Headers::new(),
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -27,7 +27,7 @@
         },
         residency::AllowedRegions, //
     },
-    http::client::Call,
+    http::client::HttpRequest,
     outcome::{
         Claim,
         RunStateWord,
@@ -46,10 +46,10 @@
     },
     upstream::{
         self,
-        AnswerHead,
-        HostReply,
         ReadError,
-        Upstream, //
+        Upstream,
+        UpstreamHead,
+        UpstreamReply, //
     }, //
 };
 
@@ -77,7 +77,7 @@
             Err(Broken::Upstream) => return self.interrupted(),
         };
         match reply {
-            HostReply::Refused { refusal, run_state } => {
+            UpstreamReply::Refused { refusal, run_state } => {
                 if run_state != RunStateWord::NotRun {
                     return self.interrupted();
                 }
@@ -89,13 +89,13 @@
                     is_leaving: refusal.reason == RefusalReason::Leaving,
                 }
             }
-            HostReply::Answer(head) if self.is_rejection(&upstream, &head) => {
+            UpstreamReply::Response(head) if self.is_rejection(&upstream, &head) => {
                 if was_unsent {
                     self.claim.refused_by_executor();
                 }
                 rejection(&head)
             }
-            HostReply::Answer(head) => self.pass_on(attempt, upstream, &head),
+            UpstreamReply::Response(head) => self.pass_on(attempt, upstream, &head),
         }
     }
 
@@ -150,7 +150,7 @@
         result.map(Upstream::from_exchange)
     }
 
-    fn call(&self) -> Call {
+    fn call(&self) -> HttpRequest {
         match &self.payload {
             Payload::Service(call) => call.clone(),
             Payload::Chat(chat) if self.stream.tokens == Tokens(0) => {
@@ -164,19 +164,19 @@
     }
 
     /// Waits until the answer starts, while the caller is there.
-    fn wait_for_head(&mut self, upstream: &mut Upstream) -> Result<HostReply, Broken> {
+    fn wait_for_head(&mut self, upstream: &mut Upstream) -> Result<UpstreamReply, Broken> {
         loop {
             let until = Instant::now() + CALLER_POLL;
             match upstream.read_head(until) {
                 Ok(reply) => return Ok(reply),
                 Err(ReadError::TimedOut) => self.check_waiting(None)?,
-                Err(ReadError::Broken) => return Err(Broken::Upstream),
+                Err(ReadError::Failed) => return Err(Broken::Upstream),
             }
         }
     }
 
     pub(super) fn check_waiting(&mut self, last_byte: Option<Instant>) -> Result<(), Broken> {
-        if self.sink.is_gone() {
+        if self.sink.is_disconnected() {
             return Err(Broken::Caller);
         }
         let now = Instant::now();
@@ -191,14 +191,14 @@
 
     // Only an engine is known to refuse with these before it runs a request; a
     // plain service may answer 503 after it has done part of the work.
-    fn is_rejection(&self, upstream: &Upstream, head: &AnswerHead) -> bool {
+    fn is_rejection(&self, upstream: &Upstream, head: &UpstreamHead) -> bool {
         matches!(self.arrival.target, Target::Model(_))
             && matches!(upstream, Upstream::Endpoint { .. })
             && matches!(head.status, 429 | 503)
     }
 }
 
-fn rejection(head: &AnswerHead) -> AttemptOutcome {
+fn rejection(head: &UpstreamHead) -> AttemptOutcome {
     let retry_after_s = head
         .headers
         .get("retry-after")
--- a/src/relay/forward.rs
+++ b/src/relay/forward.rs
@@ -11,7 +11,7 @@
         residency::AllowedRegions, //
     },
     http::{
-        client::Call,
+        client::HttpRequest,
         message::Headers, //
     },
     peer::frame::ForwardHead,
@@ -22,8 +22,8 @@
     upstream, //
 };
 
-pub(super) fn chat_call(request: RequestId, body: Vec<u8>) -> Call {
-    Call {
+pub(super) fn chat_call(request: RequestId, body: Vec<u8>) -> HttpRequest {
+    HttpRequest {
         method: "POST".into(),
         path: "/v1/chat/completions".into(),
         headers: Headers::new()
@@ -53,7 +53,7 @@
 pub(super) fn forward_head(
     context: &RelayContext,
     arrival: &Arrival,
-    call: &Call,
+    call: &HttpRequest,
     allowed: AllowedRegions,
     is_stream: bool,
 ) -> ForwardHead {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -37,7 +37,7 @@
         },
         residency::AllowedRegions, //
     },
-    http::client::Call,
+    http::client::HttpRequest,
     openai::{
         self,
         ChatRequest,
@@ -50,7 +50,7 @@
     },
     peer::client::PeerClient,
     recorder::Ending,
-    sink::AnswerSink,
+    sink::ResponseSink,
     types::{
         Attempt,
         HostId,
@@ -74,7 +74,7 @@
     /// A chat completion.
     Chat(Box<ChatRequest>),
     /// A call of a plain service.
-    Service(Call),
+    Service(HttpRequest),
 }
 
 /// What the relay needs besides the request.
@@ -142,7 +142,7 @@
 pub fn run(
     context: &RelayContext,
     exchange: Exchange,
-    sink: &mut AnswerSink<'_, '_>,
+    sink: &mut ResponseSink<'_, '_>,
 ) -> (Ending, Delivered) {
     let request = exchange.arrival.request;
     let (settlement, delivered) = carry(context, exchange, Unsent::new(), sink);
@@ -157,7 +157,7 @@
             let state = claim.into_state(has_delivered);
             let answer = ErrorAnswer::from_refusal(refusal, state);
             log_given_up(request, &answer);
-            sink.give_up(&answer);
+            sink.write_error(&answer);
             Ending::GivenUp(state.word())
         }
     };
@@ -180,7 +180,7 @@
     context: &RelayContext,
     exchange: Exchange,
     unsent: Unsent,
-    sink: &mut AnswerSink<'_, '_>,
+    sink: &mut ResponseSink<'_, '_>,
 ) -> (Settlement, Delivered) {
     let mut relay = Relay {
         context,
@@ -209,7 +209,7 @@
     arrival: Arrival,
     deadline: Instant,
     payload: Payload,
-    sink: &'a mut AnswerSink<'b, 'c>,
+    sink: &'a mut ResponseSink<'b, 'c>,
     claim: Claim,
     stream: StreamProgress,
     delivered: Delivered,
@@ -302,7 +302,7 @@
         loop {
             match actions.recv_timeout(CALLER_POLL) {
                 Ok(action) => return Some(action),
-                Err(RecvTimeoutError::Timeout) if self.sink.is_gone() => return None,
+                Err(RecvTimeoutError::Timeout) if self.sink.is_disconnected() => return None,
                 Err(RecvTimeoutError::Timeout)
                     if Instant::now() < self.deadline + DECISION_GRACE => {}
                 Err(_) => {
--- a/src/relay/pass.rs
+++ b/src/relay/pass.rs
@@ -27,9 +27,9 @@
         Tokens, //
     },
     upstream::{
-        AnswerHead,
         ReadError,
-        Upstream, //
+        Upstream,
+        UpstreamHead, //
     }, //
 };
 
@@ -52,7 +52,7 @@
         &mut self,
         attempt: Attempt,
         upstream: Upstream,
-        head: &AnswerHead,
+        head: &UpstreamHead,
     ) -> AttemptOutcome {
         let result = if self.is_stream() && head.status == 200 {
             self.pass_stream(attempt, upstream)
@@ -85,7 +85,7 @@
                     return Ok(has_more);
                 }
                 Err(ReadError::TimedOut) => self.check_waiting(*last_byte)?,
-                Err(ReadError::Broken) => return Err(Broken::Upstream),
+                Err(ReadError::Failed) => return Err(Broken::Upstream),
             }
         }
     }
@@ -94,7 +94,7 @@
         &mut self,
         attempt: Attempt,
         mut upstream: Upstream,
-        head: &AnswerHead,
+        head: &UpstreamHead,
     ) -> Result<AttemptOutcome, Broken> {
         let mut body = Vec::new();
         let mut last_byte = Some(Instant::now());
@@ -111,7 +111,7 @@
         self.report_first_token(attempt);
         let headers = passed_headers(&head.headers);
         self.sink
-            .whole(status, headers, &body)
+            .write_response(status, headers, &body)
             .map_err(|_| Broken::Caller)?;
         if is_chat && status != 200 {
             return Ok(AttemptOutcome::Failed { status });
@@ -163,7 +163,7 @@
         match event {
             StreamEvent::Done if reader.is_finished => {
                 self.sink
-                    .piece(text.as_bytes())
+                    .write_piece(text.as_bytes())
                     .map_err(|_| Broken::Caller)?;
                 return Ok(true);
             }
@@ -216,7 +216,7 @@
         };
         let event = renamed.as_deref().unwrap_or(event);
         self.sink
-            .piece(event.as_bytes())
+            .write_piece(event.as_bytes())
             .map_err(|_| Broken::Caller)
     }
 
--- a/src/sink.rs
+++ b/src/sink.rs
@@ -29,7 +29,7 @@
 /// Longest wait for a caller that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-const NOT_A_STREAM: &str = "an answer that is kept cannot be a stream";
+const CAPTURED_STREAM: &str = "an answer that is kept cannot be a stream";
 
 /// How far the answer has been written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,12 +37,12 @@
     Nothing,
     Streaming,
     Ended,
-    Broken,
+    Failed,
 }
 
 /// An answer that is kept instead of written.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CapturedAnswer {
+pub struct CapturedResponse {
     /// HTTP status.
     pub status: u16,
     /// Fields of the endpoint's answer.
@@ -55,31 +55,31 @@
 enum Output<'a, 'b> {
     Caller(Connection),
     Host(HostOutput<'a, 'b>),
-    Capture(Option<CapturedAnswer>),
+    Capture(Option<CapturedResponse>),
 }
 
 /// The caller's side of one exchange.
 #[derive(Debug)]
-pub struct AnswerSink<'a, 'b> {
+pub struct ResponseSink<'a, 'b> {
     output: Output<'a, 'b>,
     request: RequestId,
     is_closing: bool,
     progress: Progress,
 }
 
-impl<'a, 'b> AnswerSink<'a, 'b> {
+impl<'a, 'b> ResponseSink<'a, 'b> {
     /// A sink that writes to a caller's connection.
     pub fn new(connection: Connection, request: RequestId) -> Self {
         Self::with_output(Output::Caller(connection), request)
     }
 
     /// A sink that answers the host that forwarded the request.
-    pub fn to_host(exchange: &'a mut ServerExchange<'b>, request: RequestId) -> Self {
+    pub fn for_host(exchange: &'a mut ServerExchange<'b>, request: RequestId) -> Self {
         Self::with_output(Output::Host(HostOutput::new(exchange)), request)
     }
 
     /// A sink that keeps a whole answer; nobody waits at its other side.
-    pub fn capture(request: RequestId) -> Self {
+    pub fn capturing(request: RequestId) -> Self {
         Self::with_output(Output::Capture(None), request)
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// The answer that was kept.
-    pub fn into_captured(self) -> Option<CapturedAnswer> {
+    pub fn into_captured(self) -> Option<CapturedResponse> {
         match self.output {
             Output::Capture(answer) => answer,
             Output::Caller(_) | Output::Host(_) => None,
@@ -116,29 +116,29 @@
     }
 
     /// Whether the caller has closed its end.
-    pub fn is_gone(&mut self) -> bool {
+    pub fn is_disconnected(&mut self) -> bool {
         match &mut self.output {
             Output::Caller(connection) => connection.is_closed_by_peer(),
-            Output::Host(host) => host.is_gone(),
+            Output::Host(host) => host.is_disconnected(),
             Output::Capture(_) => false,
         }
     }
 
     /// Writes a whole answer.
-    pub fn whole(
+    pub fn write_response(
         &mut self,
         status: u16,
         headers: Headers,
         body: &[u8],
     ) -> Result<(), MessageError> {
-        let common = self.with_common(headers.clone());
+        let full_headers = self.with_common_headers(headers.clone());
         let result = match &mut self.output {
             Output::Caller(connection) => {
-                server::respond(connection, status, common, body, deadline())
+                server::respond(connection, status, full_headers, body, deadline())
             }
-            Output::Host(host) => host.whole(status, &headers, body),
+            Output::Host(host) => host.write_response(status, &headers, body),
             Output::Capture(answer) => {
-                *answer = Some(CapturedAnswer {
+                *answer = Some(CapturedResponse {
                     status,
                     headers,
                     body: body.to_vec(),
@@ -146,46 +146,46 @@
                 Ok(())
             }
         };
-        self.note(result, Progress::Ended)
+        self.update_progress(result, Progress::Ended)
     }
 
     /// Writes the head of a stream.
     pub fn start_stream(&mut self, headers: Headers) -> Result<(), MessageError> {
-        let headers = self.with_common(headers);
+        let headers = self.with_common_headers(headers);
         let result = match &mut self.output {
             Output::Caller(connection) => {
                 server::start_chunked(connection, 200, headers, deadline())
             }
-            Output::Host(host) => host.head(200, &headers),
-            Output::Capture(_) => Err(MessageError::Malformed(NOT_A_STREAM)),
+            Output::Host(host) => host.write_head(200, &headers),
+            Output::Capture(_) => Err(MessageError::Malformed(CAPTURED_STREAM)),
         };
-        self.note(result, Progress::Streaming)
+        self.update_progress(result, Progress::Streaming)
     }
 
     /// Writes a piece of a stream at once.
-    pub fn piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
+    pub fn write_piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         let result = match &mut self.output {
             Output::Caller(connection) => server::write_chunk(connection, bytes, deadline()),
-            Output::Host(host) => host.piece(bytes),
-            Output::Capture(_) => Err(MessageError::Malformed(NOT_A_STREAM)),
+            Output::Host(host) => host.write_piece(bytes),
+            Output::Capture(_) => Err(MessageError::Malformed(CAPTURED_STREAM)),
         };
-        self.note(result, Progress::Streaming)
+        self.update_progress(result, Progress::Streaming)
     }
 
     /// Writes the proper end of a stream.
     pub fn end_stream(&mut self) -> Result<(), MessageError> {
         let result = match &mut self.output {
             Output::Caller(connection) => server::end_chunked(connection, deadline()),
-            Output::Host(host) => host.end(),
-            Output::Capture(_) => Err(MessageError::Malformed(NOT_A_STREAM)),
+            Output::Host(host) => host.write_end(),
+            Output::Capture(_) => Err(MessageError::Malformed(CAPTURED_STREAM)),
         };
-        self.note(result, Progress::Ended)
+        self.update_progress(result, Progress::Ended)
     }
 
     /// Writes a final answer without a result.
     ///
     /// A stream that has started gets an error event and no proper end.
-    pub fn give_up(&mut self, answer: &ErrorAnswer) {
+    pub fn write_error(&mut self, answer: &ErrorAnswer) {
         let body = answer.to_json();
         let result = match self.progress {
             Progress::Nothing => {
@@ -193,22 +193,22 @@
                 if let Some(seconds) = answer.retry_after_s() {
                     headers.push("retry-after", &seconds.to_string());
                 }
-                self.whole(answer.status, headers, &body)
+                self.write_response(answer.status, headers, &body)
             }
             Progress::Streaming => {
                 let event = [b"data: ", body.as_slice(), b"\n\n"].concat();
-                let result = self.piece(&event);
-                self.progress = Progress::Broken;
+                let result = self.write_piece(&event);
+                self.progress = Progress::Failed;
                 result
             }
-            Progress::Ended | Progress::Broken => Ok(()),
+            Progress::Ended | Progress::Failed => Ok(()),
         };
         if let Err(error) = result {
             tracing::debug!(request = %self.request, %error, "caller did not take the final answer");
         }
     }
 
-    fn with_common(&self, headers: Headers) -> Headers {
+    fn with_common_headers(&self, headers: Headers) -> Headers {
         let headers = headers.with_field("x-request-id", &self.request.to_string());
         if self.is_closing {
             headers.with_field("connection", "close")
@@ -217,7 +217,7 @@
         }
     }
 
-    fn note(
+    fn update_progress(
         &mut self,
         result: Result<(), MessageError>,
         next: Progress,
@@ -225,7 +225,7 @@
         self.progress = if result.is_ok() {
             next
         } else {
-            Progress::Broken
+            Progress::Failed
         };
         result
     }
@@ -242,11 +242,11 @@
         Self { exchange }
     }
 
-    fn is_gone(&mut self) -> bool {
+    fn is_disconnected(&mut self) -> bool {
         self.exchange.is_cancelled()
     }
 
-    fn head(&mut self, status: u16, headers: &Headers) -> Result<(), MessageError> {
+    fn write_head(&mut self, status: u16, headers: &Headers) -> Result<(), MessageError> {
         let headers = upstream::to_fields(headers);
         let frame = Frame::ResponseHead { status, headers };
         self.exchange
@@ -254,13 +254,13 @@
             .map_err(|_| MessageError::Closed)
     }
 
-    fn piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
+    fn write_piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         self.exchange
             .send(&Frame::ResponseBody, bytes, deadline())
             .map_err(|_| MessageError::Closed)
     }
 
-    fn end(&mut self) -> Result<(), MessageError> {
+    fn write_end(&mut self) -> Result<(), MessageError> {
         // The host that asked counts the tokens itself.
         let frame = Frame::ResponseEnd {
             output_tokens: Tokens(0),
@@ -271,12 +271,17 @@
             .map_err(|_| MessageError::Closed)
     }
 
-    fn whole(&mut self, status: u16, headers: &Headers, body: &[u8]) -> Result<(), MessageError> {
-        self.head(status, headers)?;
+    fn write_response(
+        &mut self,
+        status: u16,
+        headers: &Headers,
+        body: &[u8],
+    ) -> Result<(), MessageError> {
+        self.write_head(status, headers)?;
         if !body.is_empty() {
-            self.piece(body)?;
+            self.write_piece(body)?;
         }
-        self.end()
+        self.write_end()
     }
 }
 
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -46,7 +46,7 @@
         RelayContext,
         Settlement, //
     },
-    sink::AnswerSink,
+    sink::ResponseSink,
     ticket::{
         call::{
             CallDigest,
@@ -76,8 +76,8 @@
             TicketError,
             TicketId,
             TicketOwner,
-            TicketSigner, //
-            VerifyContext,
+            TicketSigner,
+            VerifyContext, //
         }, //
     },
     ticket_thread::TicketTableHandle,
@@ -289,7 +289,7 @@
     /// is sent.
     fn run_call(&self, exchange: Exchange, permit: Permit, unsent: Unsent) -> PlainAnswer {
         let request = exchange.arrival.request;
-        let mut sink = AnswerSink::capture(request);
+        let mut sink = ResponseSink::capturing(request);
         let (settlement, _) = relay::carry(&self.relay, exchange, unsent, &mut sink);
         let (refusal, claim) = match settlement {
             Settlement::Answered(sent) => {
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -13,7 +13,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         connection::{
             BodyReader,
@@ -44,14 +44,14 @@
     /// Nothing came yet; the read may be repeated.
     TimedOut,
     /// The answer will not be whole.
-    Broken,
+    Failed,
 }
 
 impl From<MessageError> for ReadError {
     fn from(error: MessageError) -> Self {
         match error {
             MessageError::TimedOut => Self::TimedOut,
-            _ => Self::Broken,
+            _ => Self::Failed,
         }
     }
 }
@@ -60,14 +60,14 @@
     fn from(error: LinkError) -> Self {
         match error {
             LinkError::TimedOut => Self::TimedOut,
-            _ => Self::Broken,
+            _ => Self::Failed,
         }
     }
 }
 
 /// Status and fields of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct UpstreamHead {
     /// HTTP status.
     pub status: u16,
     /// Header fields.
@@ -76,9 +76,9 @@
 
 /// How a host replied to a forwarded request.
 #[derive(Debug)]
-pub enum HostReply {
+pub enum UpstreamReply {
     /// It has an answer, whose body follows.
-    Answer(AnswerHead),
+    Response(UpstreamHead),
     /// It gave the request up before any part of the answer.
     Refused {
         /// Why.
@@ -90,10 +90,10 @@
 
 /// Connects to an endpoint; no byte of a request is sent.
 pub fn connect(address: SocketAddr, deadline: Instant) -> Result<Connection, MessageError> {
-    let left = deadline.saturating_duration_since(Instant::now());
+    let remaining = deadline.saturating_duration_since(Instant::now());
     client::connect(
         address,
-        left.clamp(Duration::from_millis(1), CONNECT_TIMEOUT),
+        remaining.clamp(Duration::from_millis(1), CONNECT_TIMEOUT),
     )
 }
 
@@ -120,7 +120,7 @@
     /// Sends a call to an endpoint; an error means that part may have arrived.
     pub fn send(
         mut connection: Connection,
-        call: &Call,
+        call: &HttpRequest,
         deadline: Instant,
     ) -> Result<Self, MessageError> {
         client::send(&mut connection, call, deadline)?;
@@ -139,17 +139,17 @@
     }
 
     /// Reads the head of an answer or the refusal of a host.
-    pub fn read_head(&mut self, until: Instant) -> Result<HostReply, ReadError> {
+    pub fn read_head(&mut self, until: Instant) -> Result<UpstreamReply, ReadError> {
         match self {
             Self::Endpoint { connection, body } => {
                 let head = connection.read_response_head(until)?;
                 let framing = head.framing()?;
                 // Without a length or chunks, a cut looks like the end.
                 if framing == Framing::UntilClose {
-                    return Err(ReadError::Broken);
+                    return Err(ReadError::Failed);
                 }
                 *body = Some(BodyReader::new(framing));
-                Ok(HostReply::Answer(AnswerHead {
+                Ok(UpstreamReply::Response(UpstreamHead {
                     status: head.status,
                     headers: head.headers,
                 }))
@@ -158,14 +158,16 @@
                 let message = exchange.next_message(until)?;
                 *is_ended = message.frame.is_final();
                 match message.frame {
-                    Frame::ResponseHead { status, headers } => Ok(HostReply::Answer(AnswerHead {
-                        status,
-                        headers: from_fields(&headers),
-                    })),
+                    Frame::ResponseHead { status, headers } => {
+                        Ok(UpstreamReply::Response(UpstreamHead {
+                            status,
+                            headers: from_fields(&headers),
+                        }))
+                    }
                     Frame::Refused { refusal, run_state } => {
-                        Ok(HostReply::Refused { refusal, run_state })
+                        Ok(UpstreamReply::Refused { refusal, run_state })
                     }
-                    _ => Err(ReadError::Broken),
+                    _ => Err(ReadError::Failed),
                 }
             }
         }
@@ -175,7 +177,7 @@
     pub fn read_piece(&mut self, out: &mut Vec<u8>, until: Instant) -> Result<bool, ReadError> {
         match self {
             Self::Endpoint { connection, body } => {
-                let body = body.as_mut().ok_or(ReadError::Broken)?;
+                let body = body.as_mut().ok_or(ReadError::Failed)?;
                 let count = body.read_piece(connection, out, until)?;
                 Ok(count > 0)
             }
@@ -189,7 +191,7 @@
                         *is_ended = true;
                         Ok(!message.payload.is_empty())
                     }
-                    _ => Err(ReadError::Broken),
+                    _ => Err(ReadError::Failed),
                 }
             }
         }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -39,7 +39,7 @@
 };
 use testenv::{
     Caller,
-    CallerAnswer,
+    CallerResponse,
     TestEnv,
     wait_for, //
 };
@@ -95,12 +95,12 @@
 }
 
 /// Confirms order `key` under `ticket`.
-fn confirm(caller: &Caller, ticket: &str, key: &str) -> CallerAnswer {
+fn confirm(caller: &Caller, ticket: &str, key: &str) -> CallerResponse {
     let response = try_confirm(caller, ticket, key);
     response.expect("the host must answer")
 }
 
-fn try_confirm(caller: &Caller, ticket: &str, key: &str) -> Option<CallerAnswer> {
+fn try_confirm(caller: &Caller, ticket: &str, key: &str) -> Option<CallerResponse> {
     let body = json!({"key": key}).to_string().into_bytes();
     caller
         .clone()
@@ -128,13 +128,13 @@
     }
 }
 
-fn ticket_state(caller: &Caller, ticket: &str) -> CallerAnswer {
+fn ticket_state(caller: &Caller, ticket: &str) -> CallerResponse {
     let response = caller.get(&format!("/v1/tickets/{ticket}"));
     response.expect("the host must answer")
 }
 
 /// Returns a line of the recorded session for a response.
-fn session_line(step: &str, response: &CallerAnswer) -> String {
+fn session_line(step: &str, response: &CallerResponse) -> String {
     let value = response.json();
     let text = |value: &Value| value.as_str().unwrap_or("-").to_string();
     format!(
@@ -153,11 +153,11 @@
     )
 }
 
-fn has_retry_after(response: &CallerAnswer) -> bool {
+fn has_retry_after(response: &CallerResponse) -> bool {
     response.headers.get("retry-after").is_some()
 }
 
-fn assert_unknown(response: &CallerAnswer, env: &TestEnv) {
+fn assert_unknown(response: &CallerResponse, env: &TestEnv) {
     assert_eq!(
         response.run_state(),
         "unknown",
@@ -225,7 +225,7 @@
         .map(|host| Caller::new(host.address).with_key(CALLER_KEY))
         .collect();
 
-    let responses: Vec<CallerAnswer> = thread::scope(|scope| {
+    let responses: Vec<CallerResponse> = thread::scope(|scope| {
         let calls: Vec<_> = callers
             .iter()
             .map(|caller| scope.spawn(|| confirm(caller, &ticket, "once")))
@@ -303,7 +303,7 @@
 }
 
 /// Repeats a call with the same ticket until the response is final.
-fn final_response(env: &TestEnv, caller: &Caller, ticket: &str, key: &str) -> CallerAnswer {
+fn final_response(env: &TestEnv, caller: &Caller, ticket: &str, key: &str) -> CallerResponse {
     let deadline = Instant::now() + TIMEOUT;
     loop {
         let response = confirm(caller, ticket, key);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -34,7 +34,7 @@
 use rand_pcg::Pcg64Mcg;
 use testenv::{
     Caller,
-    CallerAnswer,
+    CallerResponse,
     TestEnv,
     chat_body,
     expected_text,
@@ -50,7 +50,7 @@
     TestEnv::start(&TestbedOptions::new())
 }
 
-fn post(env: &TestEnv, body: &[u8]) -> CallerAnswer {
+fn post(env: &TestEnv, body: &[u8]) -> CallerResponse {
     let answer = env
         .caller("stred")
         .call("POST", "/v1/chat/completions", body.to_vec());
--- a/tests/endpoint_drain.rs
+++ b/tests/endpoint_drain.rs
@@ -24,7 +24,7 @@
 };
 use testenv::{
     Caller,
-    StreamAnswer,
+    StreamResponse,
     TestEnv,
     entry_hosts,
     expected_text,
@@ -112,7 +112,7 @@
 }
 
 /// Starts streams and waits until one of them runs at the engine that will leave.
-fn start_streams(env: &TestEnv) -> Vec<(String, JoinHandle<StreamAnswer>)> {
+fn start_streams(env: &TestEnv) -> Vec<(String, JoinHandle<StreamResponse>)> {
     let mut streams = Vec::new();
     let engine = leaving_engine(env);
     for number in 0..12 {
@@ -132,7 +132,7 @@
 }
 
 /// Checks that all streams are complete.
-fn assert_complete(streams: Vec<(String, JoinHandle<StreamAnswer>)>) {
+fn assert_complete(streams: Vec<(String, JoinHandle<StreamResponse>)>) {
     for (prompt, stream) in streams {
         let stream = stream.join().expect("a caller must not panic");
         assert!(stream.has_done && stream.has_proper_end, "{stream:?}");
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -62,7 +62,7 @@
 };
 use testenv::{
     Caller,
-    CallerAnswer,
+    CallerResponse,
     TestEnv,
     chat_body,
     wait_for, //
@@ -136,7 +136,7 @@
 }
 
 /// Sends the marked requests of all regions at once, to the hosts in turn.
-fn chat_everywhere(env: &TestEnv) -> Vec<CallerAnswer> {
+fn chat_everywhere(env: &TestEnv) -> Vec<CallerResponse> {
     let mut chats = Vec::new();
     for region in REGIONS {
         let hosts: Vec<SocketAddr> = env
@@ -249,7 +249,7 @@
 
 /// Sends requests while each host believes that another region has room and no
 /// region has any.
-fn chat_with_contradictory_views() -> (TestEnv, Vec<CallerAnswer>) {
+fn chat_with_contradictory_views() -> (TestEnv, Vec<CallerResponse>) {
     let env = TestEnv::start(&small_engines());
     wait_until_regions_are_known(&env);
     watch_wires(&env);
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -28,12 +28,12 @@
 use serde_json::json;
 use testenv::{
     Caller,
-    CallerAnswer,
-    StreamAnswer,
+    CallerResponse,
+    StreamResponse,
     TestEnv,
     entry_hosts,
     expected_text,
-    until_taken,
+    retry_while_refused,
     wait_for, //
 };
 
@@ -73,8 +73,8 @@
 
 /// Requests in progress through one host.
 struct InProgress {
-    chats: Vec<(String, JoinHandle<CallerAnswer>)>,
-    streams: Vec<(String, JoinHandle<StreamAnswer>)>,
+    chats: Vec<(String, JoinHandle<CallerResponse>)>,
+    streams: Vec<(String, JoinHandle<StreamResponse>)>,
 }
 
 impl InProgress {
@@ -85,13 +85,16 @@
         };
         let chat = |prompt: String| {
             let (caller, sent) = (caller.clone(), prompt.clone());
-            let call = move || until_taken(|| caller.chat(&sent, TOKENS), |answer| answer.status);
+            let call =
+                move || retry_while_refused(|| caller.chat(&sent, TOKENS), |answer| answer.status);
             let call = move || call().0.expect("the host must answer");
             (prompt, thread::spawn(call))
         };
         let stream = |prompt: String| {
             let (caller, sent) = (caller.clone(), prompt.clone());
-            let call = move || until_taken(|| caller.stream(&sent, TOKENS), |stream| stream.status);
+            let call = move || {
+                retry_while_refused(|| caller.stream(&sent, TOKENS), |stream| stream.status)
+            };
             let call = move || call().0.expect("the host must answer");
             (prompt, thread::spawn(call))
         };
@@ -274,7 +277,7 @@
     in_progress.assert_whole(&env);
 }
 
-fn long_stream(env: &TestEnv) -> JoinHandle<StreamAnswer> {
+fn long_stream(env: &TestEnv) -> JoinHandle<StreamResponse> {
     let caller = env.caller("stred");
     // Eight seconds, within the deadline of ten.
     let call = move || caller.stream("long", 400).unwrap_or_default();
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -73,7 +73,7 @@
 use serde_json::json;
 use testenv::{
     Caller,
-    CallerAnswer,
+    CallerResponse,
     TestEnv,
     chat_body,
     wait_for, //
@@ -247,7 +247,7 @@
 
 /// A response to a caller, and how long it elapsed.
 struct TimedResponse {
-    response: CallerAnswer,
+    response: CallerResponse,
     elapsed: Duration,
 }
 
@@ -280,7 +280,7 @@
 
 fn timed<F>(call: F) -> TimedResponse
 where
-    F: FnOnce() -> Result<CallerAnswer, MessageError>,
+    F: FnOnce() -> Result<CallerResponse, MessageError>,
 {
     let started = Instant::now();
     let response = call().expect("the host must answer");
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -33,12 +33,12 @@
 };
 use testenv::{
     Caller,
-    StreamAnswer,
+    StreamResponse,
     TestEnv,
     entry_hosts,
     expected_text,
+    retry_while_refused,
     revision_at,
-    until_taken,
     wait_for, //
 };
 
@@ -273,7 +273,7 @@
         .sum()
 }
 
-fn assert_honest_stream(stream: &StreamAnswer, prompt: &str) -> bool {
+fn assert_honest_stream(stream: &StreamResponse, prompt: &str) -> bool {
     let expected = expected_text(prompt, TOKENS as usize);
     if stream.error.is_none() && stream.status == 200 {
         assert!(stream.has_done && stream.has_proper_end, "{stream:?}");
@@ -310,7 +310,7 @@
         .map(|number| {
             let caller = caller.clone();
             thread::spawn(move || {
-                until_taken(
+                retry_while_refused(
                     || caller.stream(&prompt(number), TOKENS),
                     |stream| stream.status,
                 )
@@ -321,7 +321,7 @@
         .map(|number| {
             let caller = caller.clone();
             thread::spawn(move || {
-                until_taken(
+                retry_while_refused(
                     || caller.chat(&prompt(number), TOKENS),
                     |answer| answer.status,
                 )
--- a/tests/residency.rs
+++ b/tests/residency.rs
@@ -65,7 +65,7 @@
 };
 use testenv::{
     Caller,
-    CallerAnswer,
+    CallerResponse,
     TestEnv,
     revision_at,
     wait_for, //
@@ -129,13 +129,13 @@
         .collect()
 }
 
-fn request_id(response: &CallerAnswer) -> String {
+fn request_id(response: &CallerResponse) -> String {
     let id = response.headers.get("x-request-id");
     id.expect("a response contains its request id").to_string()
 }
 
 /// Sends concurrent requests of one caller and collects the responses.
-fn chat_at_once(address: SocketAddr, key: &str, marker: &str, count: usize) -> Vec<CallerAnswer> {
+fn chat_at_once(address: SocketAddr, key: &str, marker: &str, count: usize) -> Vec<CallerResponse> {
     let caller = Caller::new(address).with_key(key);
     let chats: Vec<_> = (0..count)
         .map(|number| {
@@ -153,7 +153,7 @@
 /// Overloads the home region with requests that may use all regions until some are
 /// forwarded to one of `regions`. Without that, observing no request of the bound
 /// caller there would prove nothing.
-fn overload_until_forwarded(env: &TestEnv, regions: &[&str]) -> Vec<CallerAnswer> {
+fn overload_until_forwarded(env: &TestEnv, regions: &[&str]) -> Vec<CallerResponse> {
     let home = env.host("stred").address;
     let deadline = Instant::now() + OVERLOAD_TIMEOUT;
     let mut responses = Vec::new();
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -17,8 +17,8 @@
     http::{
         client::{
             self,
-            Answer,
-            Call, //
+            HttpRequest,
+            HttpResponse, //
         },
         message::{
             Headers,
@@ -63,8 +63,8 @@
     Instant::now() + LIMIT
 }
 
-fn open(address: SocketAddr, method: &str, path: &str, body: &Value) -> Answer {
-    let call = Call {
+fn open(address: SocketAddr, method: &str, path: &str, body: &Value) -> HttpResponse {
+    let call = HttpRequest {
         method: method.into(),
         path: path.into(),
         headers: Headers::new().with_field("x-request-id", "r1"),
@@ -79,7 +79,7 @@
     client::receive(connection, deadline()).expect("head of the answer")
 }
 
-fn read(answer: &mut Answer) -> Result<String, MessageError> {
+fn read(answer: &mut HttpResponse) -> Result<String, MessageError> {
     let connection = &mut answer.connection;
     let bytes = answer.body.read_to_end(connection, 1 << 22, deadline())?;
     Ok(String::from_utf8(bytes).expect("answer is UTF-8"))
@@ -90,7 +90,7 @@
     (answer.head.status, read(&mut answer).expect("whole answer"))
 }
 
-fn chat(address: SocketAddr, body: &Value) -> Answer {
+fn chat(address: SocketAddr, body: &Value) -> HttpResponse {
     open(address, "POST", "/v1/chat/completions", body)
 }
 
@@ -372,7 +372,7 @@
 fn a_dropped_call_has_run_once() {
     let service = ServiceStandin::start(ServiceOptions::new("dispatch")).expect("starts");
     let body = json!({ "key": "box-7" });
-    let call = Call {
+    let call = HttpRequest {
         method: "POST".into(),
         path: "/dispatch".into(),
         headers: Headers::new(),
@@ -405,7 +405,7 @@
 }
 
 fn stock_over(wire: &Wire) -> Result<u16, MessageError> {
-    let call = Call {
+    let call = HttpRequest {
         method: "GET".into(),
         path: "/stock/box".into(),
         headers: Headers::new(),
--- a/tests/testenv/mod.rs
+++ b/tests/testenv/mod.rs
@@ -29,7 +29,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         message::{
             Headers,
@@ -292,13 +292,13 @@
 
 /// A whole answer as a caller sees it.
 #[derive(Debug, Clone)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     pub status: u16,
     pub headers: Headers,
     pub body: Vec<u8>,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
@@ -320,7 +320,7 @@
 
 /// What a caller read of a stream.
 #[derive(Debug, Clone, Default)]
-pub struct StreamAnswer {
+pub struct StreamResponse {
     pub status: u16,
     pub text: String,
     pub has_done: bool,
@@ -364,7 +364,7 @@
         self
     }
 
-    pub fn get(&self, path: &str) -> Result<CallerAnswer, MessageError> {
+    pub fn get(&self, path: &str) -> Result<CallerResponse, MessageError> {
         self.call("GET", path, Vec::new())
     }
 
@@ -373,14 +373,14 @@
         method: &str,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<CallerAnswer, MessageError> {
+    ) -> Result<CallerResponse, MessageError> {
         let deadline = Instant::now() + self.timeout;
         let mut answer = self.send(method, path, body, deadline)?;
         let limit = 64 * 1024 * 1024;
         let body = answer
             .body
             .read_to_end(&mut answer.connection, limit, deadline)?;
-        Ok(CallerAnswer {
+        Ok(CallerResponse {
             status: answer.head.status,
             headers: answer.head.headers,
             body,
@@ -388,13 +388,13 @@
     }
 
     /// Asks for a plain answer.
-    pub fn chat(&self, prompt: &str, max_tokens: u64) -> Result<CallerAnswer, MessageError> {
+    pub fn chat(&self, prompt: &str, max_tokens: u64) -> Result<CallerResponse, MessageError> {
         let body = chat_body(prompt, max_tokens, false);
         self.call("POST", "/v1/chat/completions", body)
     }
 
     /// Asks for a stream and reads it to its end.
-    pub fn stream(&self, prompt: &str, max_tokens: u64) -> Result<StreamAnswer, MessageError> {
+    pub fn stream(&self, prompt: &str, max_tokens: u64) -> Result<StreamResponse, MessageError> {
         self.stream_with(prompt, max_tokens, |_| {})
     }
 
@@ -404,7 +404,7 @@
         prompt: &str,
         max_tokens: u64,
         mut on_piece: F,
-    ) -> Result<StreamAnswer, MessageError>
+    ) -> Result<StreamResponse, MessageError>
     where
         F: FnMut(usize),
     {
@@ -412,9 +412,9 @@
         let deadline = started + self.timeout;
         let body = chat_body(prompt, max_tokens, true);
         let mut answer = self.send("POST", "/v1/chat/completions", body, deadline)?;
-        let mut read = StreamAnswer {
+        let mut read = StreamResponse {
             status: answer.head.status,
-            ..StreamAnswer::default()
+            ..StreamResponse::default()
         };
         let mut bytes = Vec::new();
         loop {
@@ -446,12 +446,12 @@
         path: &str,
         body: Vec<u8>,
         deadline: Instant,
-    ) -> Result<client::Answer, MessageError> {
+    ) -> Result<client::HttpResponse, MessageError> {
         let mut headers = self.headers.clone();
         if let Some(key) = &self.key {
             headers.push("authorization", &format!("Bearer {key}"));
         }
-        let call = Call {
+        let call = HttpRequest {
             method: method.into(),
             path: path.into(),
             headers,
@@ -463,7 +463,7 @@
     }
 }
 
-impl StreamAnswer {
+impl StreamResponse {
     fn take(&mut self, event: &str, started: Instant) {
         let Some(data) = event.trim().strip_prefix("data:").map(str::trim) else {
             return;
@@ -522,10 +522,10 @@
     names.map(str::to_string).collect()
 }
 
-/// Repeats a call that is refused with 503, for at most [`TAKEN_TIMEOUT`], since
+/// Repeats a call that is refused with 503, for at most [`REFUSAL_RETRY_TIMEOUT`], since
 /// a host sends only a part of its requests to another region at once; returns
 /// how long the last call took.
-pub fn until_taken<F, S, A>(call: F, status: S) -> (Result<A, MessageError>, Duration)
+pub fn retry_while_refused<F, S, A>(call: F, status: S) -> (Result<A, MessageError>, Duration)
 where
     F: Fn() -> Result<A, MessageError>,
     S: Fn(&A) -> u16,
@@ -535,12 +535,12 @@
         let started = Instant::now();
         let answer = call();
         let is_refused = matches!(&answer, Ok(answer) if status(answer) == 503);
-        if !is_refused || first.elapsed() > TAKEN_TIMEOUT {
+        if !is_refused || first.elapsed() > REFUSAL_RETRY_TIMEOUT {
             return (answer, started.elapsed());
         }
-        thread::sleep(TAKEN_PAUSE);
+        thread::sleep(REFUSAL_RETRY_DELAY);
     }
 }
 
-const TAKEN_TIMEOUT: Duration = Duration::from_secs(3);
-const TAKEN_PAUSE: Duration = Duration::from_millis(50);
+const REFUSAL_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -20,7 +20,7 @@
     http::{
         client::{
             self,
-            Call, //
+            HttpRequest, //
         },
         message::Headers, //
     },
@@ -52,7 +52,7 @@
 use rand_pcg::Pcg64Mcg;
 use testenv::{
     Caller,
-    StreamAnswer,
+    StreamResponse,
     TestEnv,
     chat_body,
     expected_text,
@@ -98,14 +98,14 @@
     expected_text(prompt, TOKENS)
 }
 
-fn stream(caller: &Caller, prompt: &str) -> StreamAnswer {
+fn stream(caller: &Caller, prompt: &str) -> StreamResponse {
     let answer = caller.stream(prompt, TOKENS as u64);
     answer.expect("the host must answer")
 }
 
 /// Asserts that a stream is a part of the right answer, and the whole of it if
 /// it looks complete.
-fn assert_honest(answer: &StreamAnswer, prompt: &str) {
+fn assert_honest(answer: &StreamResponse, prompt: &str) {
     let expected = expected(prompt);
     assert!(expected.starts_with(&answer.text), "{prompt}: {answer:?}");
     if answer.status != 200 {
@@ -429,7 +429,7 @@
 
 /// A stream of zapad that is cut off after five tokens from the region that
 /// serves it, and how many attempts reached an engine.
-fn stream_and_cut(env: &mut TestEnv, turn: usize) -> (StreamAnswer, usize) {
+fn stream_and_cut(env: &mut TestEnv, turn: usize) -> (StreamResponse, usize) {
     let caller = env.caller("zapad");
     let prompt = format!("forwarded {turn}");
     let before = all_seen(env).len();
@@ -549,7 +549,7 @@
     is_stream: bool,
 ) -> cardamombridge::http::connection::Connection {
     let headers = Headers::new().with_field("authorization", &format!("Bearer {CALLER_KEY}"));
-    let call = Call {
+    let call = HttpRequest {
         method: "POST".into(),
         path: "/v1/chat/completions".into(),
         headers,
