--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One blocking TCP connection with a read buffer and deadlines.
+//! Blocking TCP connection with a read buffer and deadlines.
 
 use std::{
     io::{
@@ -20,15 +20,15 @@
     ResponseHead, //
 };
 
-/// Longest head of a request or response.
+/// Maximum size of the head of a request or response.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest line that announces a chunk.
+/// Maximum length of a chunk size line.
 const MAX_CHUNK_LINE_BYTES: usize = 128;
 const READ_SIZE_BYTES: usize = 16 * 1024;
-/// The kernel rejects a timeout of zero.
+/// Shortest socket timeout; the kernel rejects zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A connection with the bytes that were read but not yet consumed.
+/// A connection with the bytes that were read from the socket but not consumed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -37,7 +37,7 @@
 }
 
 impl Connection {
-    /// Wraps a connected socket.
+    /// Wraps a connected socket; fails if `TCP_NODELAY` cannot be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self {
@@ -47,12 +47,12 @@
         })
     }
 
-    /// The socket.
+    /// Returns the underlying socket.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Whether bytes have been read that no message has used.
+    /// Returns whether the read buffer has unconsumed bytes.
     pub fn has_unread_bytes(&self) -> bool {
         self.consumed < self.buffer.len()
     }
@@ -63,7 +63,8 @@
         self.stream.write_all(bytes).map_err(from_io)
     }
 
-    /// Whether the other side has closed its end while nothing is expected.
+    /// Returns whether the peer has closed its end; to be called while no data
+    /// is expected.
     pub fn is_closed_by_peer(&self) -> bool {
         if self.has_unread_bytes() || self.stream.set_nonblocking(true).is_err() {
             return false;
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Reads the head of a request; `Ok(None)` if the peer closed before it.
+    /// Reads the head of a request; `Ok(None)` if the peer closed before its
+    /// first byte.
     pub fn read_request_head(
         &mut self,
         deadline: Instant,
@@ -155,7 +157,7 @@
     }
 }
 
-/// Reads one body piece by piece and knows whether its end was seen.
+/// Incremental reader of one body; records whether the body was complete.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
@@ -165,7 +167,7 @@
 }
 
 impl BodyReader {
-    /// A reader at the start of a body.
+    /// Returns a reader at the start of a body.
     pub fn new(framing: Framing) -> Self {
         Self {
             framing,
@@ -178,14 +180,15 @@
         }
     }
 
-    /// Whether the proper end of the body was read.
+    /// Returns whether the end of the body that the framing defines was read.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Appends the next piece to `out`; returns its length, 0 at the end.
+    /// Appends the next available bytes to `out`; returns their number, 0 at the
+    /// end of the body.
     ///
-    /// A read that times out may be repeated: no byte is lost.
+    /// A read that timed out can be repeated without loss of data.
     pub fn read_piece(
         &mut self,
         connection: &mut Connection,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Reads the whole body, at most `limit_bytes` long.
+    /// Reads the complete body; fails if it exceeds `limit_bytes`.
     pub fn read_to_end(
         &mut self,
         connection: &mut Connection,
@@ -278,8 +281,9 @@
         connection: &mut Connection,
         deadline: Instant,
     ) -> Result<(), MessageError> {
-        // The line end that closes the previous chunk is read with the next
-        // size, so that a piece is passed on as soon as it is there.
+        // The line end of the previous chunk is read together with the next
+        // size line, so that the data of a chunk is returned without waiting
+        // for the bytes that follow it.
         let line_end_bytes = if self.is_first_chunk { 0 } else { 2 };
         loop {
             let bytes = connection.unread();
@@ -296,7 +300,8 @@
                             self.is_first_chunk = false;
                             return Ok(());
                         }
-                        // Trailers are not used; only the empty one is accepted.
+                        // Trailer fields are not supported: the trailer section
+                        // must be empty.
                         let end = &bytes[line_end_bytes + used..];
                         if end.len() >= 2 {
                             if !end.starts_with(b"\r\n") {
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Heads of HTTP messages and the rules for the length of a body.
+//! Heads of HTTP messages and the framing of their bodies.
 
 use std::{
     fmt::Write as _,
@@ -8,35 +8,35 @@
 use compact_str::CompactString;
 use thiserror::Error;
 
-/// Most header fields in one message.
+/// Maximum number of header fields in one message.
 const MAX_HEADERS: usize = 64;
 
 /// Why a message could not be read or written.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The head or the body is longer than accepted.
+    /// The head or the body exceeds its limit.
     #[error("{part} exceeds {limit_bytes} bytes")]
     TooLarge {
-        /// Which part of the message.
+        /// Part of the message that is too large.
         part: &'static str,
-        /// The limit.
+        /// Maximum size of that part.
         limit_bytes: usize,
     },
     /// The bytes are not a valid HTTP/1.1 message.
     #[error("malformed HTTP message: {0}")]
     Malformed(&'static str),
-    /// The other side closed the connection before the message ended.
+    /// The peer closed the connection before the message ended.
     #[error("connection closed before the end of the message")]
     Closed,
-    /// The message did not arrive in time.
+    /// The deadline passed before the message was read or written.
     #[error("timed out waiting for the message")]
     TimedOut,
-    /// The socket failed.
+    /// A socket operation failed.
     #[error("socket error: {0}")]
     Io(#[from] io::Error),
 }
 
-/// One header field; the name is in lower case.
+/// One header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
     /// Field name in lower case.
@@ -50,18 +50,18 @@
 pub struct Headers(Vec<Header>);
 
 impl Headers {
-    /// No fields.
+    /// Returns an empty list of fields.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The same fields and one more.
+    /// Appends a field and returns the list.
     pub fn with_field(mut self, name: &str, value: &str) -> Self {
         self.push(name, value);
         self
     }
 
-    /// Adds a field.
+    /// Appends a field; its name is converted to lower case.
     pub fn push(&mut self, name: &str, value: &str) {
         self.0.push(Header {
             name: CompactString::from(name.to_ascii_lowercase()),
@@ -69,13 +69,14 @@
         });
     }
 
-    /// The value of the first field with this lower-case name.
+    /// Returns the value of the first field named `name`, which must be in lower
+    /// case.
     pub fn get(&self, name: &str) -> Option<&str> {
         let field = self.0.iter().find(|field| field.name == name)?;
         Some(&field.value)
     }
 
-    /// All fields in order.
+    /// Iterates over all fields in order.
     pub fn iter(&self) -> std::slice::Iter<'_, Header> {
         self.0.iter()
     }
@@ -84,7 +85,8 @@
         self.0.iter().filter(|field| field.name == name).count()
     }
 
-    /// Whether a comma-separated field contains `token`, in any case.
+    /// Returns whether the comma-separated field `name` contains `token`,
+    /// ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.0
             .iter()
@@ -104,7 +106,7 @@
     }
 }
 
-/// Start line and fields of a request.
+/// Request line and header fields of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
     /// Method in upper case, such as `POST`.
@@ -115,7 +117,7 @@
     pub headers: Headers,
 }
 
-/// Start line and fields of a response.
+/// Status line and header fields of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Status code.
@@ -127,11 +129,12 @@
 /// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// Exactly this many bytes.
+    /// The body has exactly this many bytes.
     Length(u64),
-    /// Chunks up to an empty one.
+    /// The body is chunked and ends with an empty chunk.
     Chunked,
-    /// Up to the end of the connection, which cannot be told from a cut.
+    /// The body ends when the connection closes, so a truncated body looks
+    /// complete.
     UntilClose,
 }
 
@@ -155,12 +158,13 @@
         Ok(Some((head, length)))
     }
 
-    /// How the body of this request is framed.
+    /// Returns the framing of the request body; fails if it is ambiguous or
+    /// unsupported.
     pub fn framing(&self) -> Result<Framing, MessageError> {
         Ok(framing(&self.headers)?.unwrap_or(Framing::Length(0)))
     }
 
-    /// Whether the sender keeps the connection for another request.
+    /// Returns whether the sender may send another request on the connection.
     pub fn keeps_alive(&self) -> bool {
         !self.headers.has_token("connection", "close")
     }
@@ -185,7 +189,8 @@
         Ok(Some((head, length)))
     }
 
-    /// How the body of this response is framed.
+    /// Returns the framing of the response body; fails if it is ambiguous or
+    /// unsupported.
     pub fn framing(&self) -> Result<Framing, MessageError> {
         if self.status == 204 || self.status == 304 {
             return Ok(Framing::Length(0));
@@ -193,7 +198,7 @@
         Ok(framing(&self.headers)?.unwrap_or(Framing::UntilClose))
     }
 
-    /// The head as it is sent.
+    /// Encodes the head as it is sent on the wire.
     pub fn encode(&self) -> String {
         let mut text = format!(
             "HTTP/1.1 {} {}\r\n",
@@ -216,8 +221,8 @@
 fn framing(headers: &Headers) -> Result<Option<Framing>, MessageError> {
     let is_chunked = headers.has_token("transfer-encoding", "chunked");
     let length = headers.get("content-length");
-    // Two different views of the length are the classic way to smuggle a
-    // second request past a gateway.
+    // Request smuggling: if two hops derive different body lengths, a second
+    // request can pass through a gateway unseen.
     if headers.count("content-length") > 1 || (is_chunked && length.is_some()) {
         return Err(MessageError::Malformed("ambiguous body length"));
     }
@@ -251,7 +256,7 @@
     })
 }
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and hands each to a thread of its own.
+//! HTTP server that runs one thread per connection.
 
 use std::{
     net::{
@@ -35,19 +35,19 @@
 const WAKE_TIMEOUT: Duration = Duration::from_millis(200);
 const CONNECTION_STACK_BYTES: usize = 256 * 1024;
 
-/// Limits and stop signal of one listener.
+/// Accept loop of one listener, with its connection limit and stop flag.
 #[derive(Debug, Clone)]
 pub struct Acceptor {
-    /// Most connections at the same time.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Set to stop accepting.
+    /// Whether the accept loop should stop.
     pub is_stopping: Arc<AtomicBool>,
-    /// Connections that are open now.
+    /// Number of open connections.
     pub open_connections: Arc<AtomicUsize>,
 }
 
 impl Acceptor {
-    /// An acceptor that runs until `is_stopping` is set.
+    /// Returns an acceptor that runs until `is_stopping` is set.
     pub fn new(max_connections: usize, is_stopping: Arc<AtomicBool>) -> Self {
         Self {
             max_connections,
@@ -56,8 +56,10 @@
         }
     }
 
-    /// Accepts until stopped; `serve` runs on a new thread for each connection
-    /// and `refuse` answers a connection over the limit.
+    /// Accepts connections until stopped.
+    ///
+    /// `serve` runs on a new thread for each connection; `refuse` runs on the
+    /// accepting thread for each connection over the limit.
     pub fn run<S, R>(&self, listener: TcpListener, serve: S, refuse: R)
     where
         S: Fn(Connection, SocketAddr) + Send + Sync + 'static,
@@ -68,19 +70,21 @@
             match listener.accept() {
                 Ok((stream, peer)) => self.start_connection(stream, peer, &serve, &refuse),
                 Err(error) => {
-                    tracing::warn!(%error, "could not accept a connection");
+                    tracing::warn!(%error, "could not accept a connection; retrying after a short delay");
                     thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Stops accepting on `address`; open connections go on.
+    /// Stops accepting; open connections are served to their end.
+    ///
+    /// `address` is the listener's address.
     pub fn stop(&self, address: SocketAddr) {
         self.is_stopping.store(true, Ordering::Release);
-        // The blocking accept returns only for a connection.
+        // The accept loop checks the flag only after a connection arrives.
         if let Err(error) = TcpStream::connect_timeout(&address, WAKE_TIMEOUT) {
-            tracing::debug!(%error, "could not wake the acceptor");
+            tracing::debug!(%error, "could not connect to the listener; it stops at its next connection");
         }
     }
 
@@ -111,12 +115,12 @@
                 serve(connection, peer);
             });
         if let Err(error) = spawned {
-            tracing::warn!(%error, "could not start a connection thread");
+            tracing::warn!(%error, "could not start a connection thread; the connection is closed");
         }
     }
 }
 
-/// Counts one open connection until it is dropped, also after a panic.
+/// Counts one open connection until it is dropped, including by a panic.
 struct OpenConnectionGuard(Arc<AtomicUsize>);
 
 impl OpenConnectionGuard {
@@ -132,7 +136,7 @@
     }
 }
 
-/// Writes a response with a whole body.
+/// Writes a complete response.
 pub fn respond(
     connection: &mut Connection,
     status: u16,
@@ -158,27 +162,29 @@
     connection.write_all(head.as_bytes(), deadline)
 }
 
-/// Writes one chunk at once; an empty one is skipped, since it would end the body.
+/// Writes one chunk without buffering; an empty one is skipped, because it would
+/// end the body.
 pub fn write_chunk(
     connection: &mut Connection,
-    piece: &[u8],
+    data: &[u8],
     deadline: Instant,
 ) -> Result<(), MessageError> {
-    if piece.is_empty() {
+    if data.is_empty() {
         return Ok(());
     }
-    let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
-    bytes.extend_from_slice(piece);
+    let mut bytes = format!("{:x}\r\n", data.len()).into_bytes();
+    bytes.extend_from_slice(data);
     bytes.extend_from_slice(b"\r\n");
     connection.write_all(&bytes, deadline)
 }
 
-/// Ends a chunked response.
+/// Writes the last chunk of a chunked response.
 pub fn end_chunked(connection: &mut Connection, deadline: Instant) -> Result<(), MessageError> {
     connection.write_all(b"0\r\n\r\n", deadline)
 }
 
-/// The deadline for writing a refusal to a caller that may not read.
+/// Returns the deadline for writing a refusal; short, because the peer may not
+/// read it.
 pub fn refusal_deadline() -> Instant {
     Instant::now() + REFUSAL_TIMEOUT
 }
