--- a/src/poller.rs
+++ b/src/poller.rs
@@ -1,10 +1,10 @@
-//! Reads load and health of endpoints.
+//! Polls endpoints for load and health.
 //!
 //! Each endpoint of a region is polled by the first two live hosts by
-//! rendezvous hashing, so that a lost host delays no report and the work is
-//! spread without any agreement. A poll reads `GET /metrics` for the load and
-//! `GET /health` for whether the endpoint is leaving; each on a connection of
-//! its own, with a short deadline.
+//! rendezvous hashing, so that the failure of a host delays no report and the
+//! polls are distributed without coordination. A poll reads `GET /metrics` for
+//! the load and `GET /health` for whether the endpoint is leaving, each on a
+//! separate connection with a short deadline.
 
 use std::{
     cmp::Reverse,
@@ -58,84 +58,87 @@
     }, //
 };
 
-/// Hosts that poll each endpoint.
+/// Number of hosts that poll each endpoint.
 pub const POLLERS_PER_ENDPOINT: usize = 2;
-/// Longest metrics page; the histograms of one vLLM engine take about 60 KB.
+/// Maximum size of a metrics page; the histograms of one vLLM engine take about
+/// 60 KB.
 const MAX_METRICS_BYTES: usize = 512 * 1024;
-/// Longest body of a health answer.
+/// Maximum size of the body of a health response.
 const MAX_HEALTH_BYTES: usize = 16 * 1024;
-/// Longest wait before the poller looks at the stop signal.
+/// Longest sleep between checks of the stop flag.
 const STOP_INTERVAL: Duration = Duration::from_millis(50);
 
 const RUNNING: &str = "vllm:num_requests_running";
 const WAITING: &str = "vllm:num_requests_waiting";
-const CACHE_USE: &str = "vllm:kv_cache_usage_perc";
+const CACHE_USAGE: &str = "vllm:kv_cache_usage_perc";
 const INCARNATION: &str = "cardamombridge_standin_incarnation";
-/// Published by the usual Prometheus clients; tells restarts apart.
+/// Published by the standard Prometheus client libraries; differs after a
+/// restart.
 const START_TIME: &str = "process_start_time_seconds";
 
 /// Why an endpoint could not be polled.
 #[derive(Debug, Error)]
 pub enum PollError {
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[error("could not poll endpoint {endpoint}: {error}")]
     Exchange {
-        /// The endpoint.
+        /// Endpoint that was polled.
         endpoint: EndpointId,
-        /// Why.
+        /// Cause of the failure.
         #[source]
         error: MessageError,
     },
-    /// The metrics page was refused.
+    /// The metrics request got a status other than 200.
     #[error("endpoint {endpoint} answered status {status} for its metrics: expected 200")]
     Status {
-        /// The endpoint.
+        /// Endpoint that was polled.
         endpoint: EndpointId,
-        /// Status of the answer.
+        /// Status of the response.
         status: u16,
     },
-    /// The page lacks a metric or holds an invalid value.
+    /// The metrics page lacks a metric or has an invalid value.
     #[error("endpoint {endpoint}: {error}")]
     Metrics {
-        /// The endpoint.
+        /// Endpoint that was polled.
         endpoint: EndpointId,
-        /// What is wrong.
+        /// Fault in the page.
         #[source]
         error: MetricsError,
     },
 }
 
-/// Why a metrics page is of no use.
+/// Why a metrics page could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum MetricsError {
-    /// The page is not text.
+    /// The page is not UTF-8.
     #[error("metrics page is not UTF-8")]
     NotText,
-    /// A metric is missing.
+    /// A required metric is missing.
     #[error("metrics page has no {0}")]
     Missing(&'static str),
-    /// A value is not a number that makes sense.
+    /// A value is not a finite number from 0.
     #[error("metrics page has an invalid value of {0}: expected a number from 0")]
     Invalid(&'static str),
 }
 
-/// The load of an endpoint, as its metrics page shows it.
+/// Load of an endpoint according to its metrics page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that run, over all engines of the page.
+    /// Running requests, summed over all engines on the page.
     pub running: u32,
-    /// Requests that wait, over all engines of the page.
+    /// Waiting requests, summed over all engines on the page.
     pub waiting: u32,
-    /// Used share of the fullest cache, in thousandths.
+    /// Highest KV cache usage of any engine on the page, in thousandths.
     pub cache_permille: u16,
-    /// Tells runs apart; 0 if the page does not tell.
+    /// Identifies the process lifetime of the endpoint; 0 if the page does not
+    /// state it.
     pub incarnation: Incarnation,
 }
 
 impl EngineLoad {
-    /// Reads a page in the Prometheus text format.
+    /// Parses a page in the Prometheus text format.
     ///
-    /// Plain services publish no cache use, which counts as 0.
+    /// Services without a model publish no cache usage, which counts as 0.
     pub fn parse(page: &[u8]) -> Result<Self, MetricsError> {
         let text = std::str::from_utf8(page).map_err(|_| MetricsError::NotText)?;
         let mut load = PageValues::default();
@@ -168,14 +171,14 @@
         match name {
             RUNNING => add_count(&mut self.running, RUNNING, value),
             WAITING => add_count(&mut self.waiting, WAITING, value),
-            CACHE_USE => {
-                let share = parse_number(CACHE_USE, value)?.min(1.0);
-                let permille = (share * 1_000.0).round() as u16;
+            CACHE_USAGE => {
+                let usage = parse_number(CACHE_USAGE, value)?.min(1.0);
+                let permille = (usage * 1_000.0).round() as u16;
                 self.cache_permille = Some(self.cache_permille.unwrap_or(0).max(permille));
                 Ok(())
             }
             INCARNATION => {
-                // A whole number is kept exactly; a float has only 53 bits.
+                // An integer is parsed exactly; a float has only 53 bits.
                 let number = match value.parse() {
                     Ok(exact) => exact,
                     Err(_) => parse_number(INCARNATION, value)? as u64,
@@ -193,14 +196,14 @@
     }
 }
 
-/// Splits a sample into its name without labels and its value.
+/// Splits a sample line into the metric name without labels and the value.
 fn split_sample(line: &str) -> Option<(&str, &str)> {
     if line.starts_with('#') {
         return None;
     }
     let name_end = line.find(|c: char| c == '{' || c.is_ascii_whitespace())?;
     let (name, rest) = line.split_at(name_end);
-    // Label values may contain spaces, and an optional time follows the value.
+    // Label values may contain spaces, and an optional timestamp follows the value.
     let value = match rest.strip_prefix('{') {
         Some(labelled) => &labelled[labelled.rfind('}')? + 1..],
         None => rest,
@@ -222,17 +225,19 @@
     Ok(())
 }
 
-/// The endpoints that `own` polls, given the live hosts of its region.
+/// Returns the endpoints that `this_host` polls, given the live hosts of its
+/// region.
 pub fn assigned<'a>(
-    own: &HostId,
+    this_host: &HostId,
     live_hosts: &[HostId],
     endpoints: &'a [EndpointInfo],
 ) -> Vec<&'a EndpointInfo> {
-    let is_own = |endpoint: &&EndpointInfo| pollers(live_hosts, &endpoint.id).contains(&own);
-    endpoints.iter().filter(is_own).collect()
+    let is_assigned =
+        |endpoint: &&EndpointInfo| pollers(live_hosts, &endpoint.id).contains(&this_host);
+    endpoints.iter().filter(is_assigned).collect()
 }
 
-/// The hosts that poll an endpoint, first one first.
+/// Returns the hosts that poll an endpoint, highest rank first.
 pub fn pollers<'a>(live_hosts: &'a [HostId], endpoint: &EndpointId) -> Vec<&'a HostId> {
     let mut ranked: Vec<&HostId> = live_hosts.iter().collect();
     let rank = |host: &HostId| rendezvous_rank(endpoint.as_str(), host.as_str());
@@ -241,13 +246,13 @@
     ranked
 }
 
-/// Polls one endpoint; `known` is its latest report, if any.
+/// Polls one endpoint; `last_report` is its previous report, if any.
 ///
-/// An endpoint that is leaving but no longer shows metrics is reported with its
-/// latest known load.
+/// An endpoint that is leaving and whose metrics cannot be read is reported with
+/// its last known load.
 pub fn poll_endpoint(
     info: &EndpointInfo,
-    known: Option<&EndpointReport>,
+    last_report: Option<&EndpointReport>,
     timeout: Duration,
 ) -> Result<EndpointReport, PollError> {
     let deadline = Instant::now() + timeout;
@@ -263,11 +268,11 @@
             is_leaving,
         }),
         Err(error) => {
-            let known = known.filter(|_| is_leaving).ok_or(error)?;
+            let last_report = last_report.filter(|_| is_leaving).ok_or(error)?;
             Ok(EndpointReport {
                 measured_ms: clock::now(),
                 is_leaving,
-                ..known.clone()
+                ..last_report.clone()
             })
         }
     }
@@ -310,18 +315,18 @@
 ) -> Result<(u16, Vec<u8>), PollError> {
     let exchange = || {
         let mut connection = client::connect(info.address, timeout)?;
-        let call = HttpRequest {
+        let request = HttpRequest {
             method: "GET".into(),
             path: path.into(),
             headers: Headers::new(),
             body: Vec::new(),
         };
-        client::send(&mut connection, &call, deadline)?;
-        let mut answer = client::receive(connection, deadline)?;
-        let body = answer
+        client::send(&mut connection, &request, deadline)?;
+        let mut response = client::receive(connection, deadline)?;
+        let body = response
             .body
-            .read_to_end(&mut answer.connection, limit_bytes, deadline)?;
-        Ok((answer.head.status, body))
+            .read_to_end(&mut response.connection, limit_bytes, deadline)?;
+        Ok((response.head.status, body))
     };
     exchange().map_err(|error| PollError::Exchange {
         endpoint: info.id.clone(),
@@ -329,20 +334,22 @@
     })
 }
 
-/// How often and how fast endpoints are polled.
+/// Polling interval, timeout and concurrency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollerConfig {
-    /// Time between rounds.
+    /// Time between the starts of two rounds.
     pub interval_ms: Millis,
-    /// Time for one endpoint.
+    /// Timeout for one endpoint.
     pub timeout_ms: Millis,
-    /// Endpoints that are polled at the same time.
+    /// Maximum number of endpoints polled concurrently.
     pub max_concurrent: usize,
 }
 
 impl PollerConfig {
-    /// One round a second, which leaves two of the three seconds in which a
-    /// leaving endpoint must be known everywhere to gossip and one lost poll.
+    /// Returns the default of one round per second.
+    ///
+    /// A leaving endpoint must be known on all hosts within three seconds; this
+    /// interval leaves two of them for gossip and one lost poll.
     pub fn new() -> Self {
         Self {
             interval_ms: Millis(1_000),
@@ -351,7 +358,7 @@
         }
     }
 
-    /// The same with another interval and timeout.
+    /// Sets the interval and the timeout.
     pub fn with_times(mut self, interval_ms: Millis, timeout_ms: Millis) -> Self {
         self.interval_ms = interval_ms;
         self.timeout_ms = timeout_ms;
@@ -368,11 +375,11 @@
 /// Totals of one poller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PollerCounts {
-    /// Polls that gave a report.
+    /// Successful polls.
     pub reports: u64,
-    /// Polls that failed.
+    /// Failed polls.
     pub failures: u64,
-    /// Rounds that were skipped because the one before took too long.
+    /// Rounds that were skipped because the previous one took too long.
     pub skipped_rounds: u64,
 }
 
@@ -380,19 +387,20 @@
 struct Shared {
     config: PollerConfig,
     targets: Mutex<Vec<EndpointInfo>>,
-    known: Mutex<HashMap<EndpointId, EndpointReport>>,
+    last_reports: Mutex<HashMap<EndpointId, EndpointReport>>,
     is_stopping: AtomicBool,
     reports: AtomicU64,
     failures: AtomicU64,
     skipped_rounds: AtomicU64,
 }
 
-/// A panic while one of these locks was held leaves whole entries.
+/// Locks a mutex and ignores poisoning, because a panic cannot leave an entry
+/// partly written.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Polls the assigned endpoints until it is stopped.
+/// Background poller of the assigned endpoints; stops when dropped.
 #[derive(Debug)]
 pub struct Poller {
     shared: Arc<Shared>,
@@ -400,9 +408,10 @@
 }
 
 impl Poller {
-    /// Starts without endpoints; `on_report` may run on several threads.
+    /// Starts the poller without endpoints.
     ///
-    /// Fails if the thread cannot be started.
+    /// `on_report` may run on several threads at once. Fails if the thread cannot
+    /// be started.
     pub fn start<F>(config: PollerConfig, on_report: F) -> std::io::Result<Self>
     where
         F: Fn(EndpointReport) + Send + Sync + 'static,
@@ -410,16 +419,16 @@
         let shared = Arc::new(Shared {
             config,
             targets: Mutex::new(Vec::new()),
-            known: Mutex::new(HashMap::new()),
+            last_reports: Mutex::new(HashMap::new()),
             is_stopping: AtomicBool::new(false),
             reports: AtomicU64::new(0),
             failures: AtomicU64::new(0),
             skipped_rounds: AtomicU64::new(0),
         });
-        let running = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         let thread = thread::Builder::new()
             .name("endpoint poller".into())
-            .spawn(move || poll_loop(&running, &on_report))?;
+            .spawn(move || poll_loop(&thread_shared, &on_report))?;
         Ok(Self {
             shared,
             thread: Some(thread),
@@ -428,12 +437,12 @@
 
     /// Sets the endpoints to poll from the next round on.
     pub fn set_targets(&self, targets: Vec<EndpointInfo>) {
-        lock(&self.shared.known)
+        lock(&self.shared.last_reports)
             .retain(|endpoint, _| targets.iter().any(|target| target.id == *endpoint));
         *lock(&self.shared.targets) = targets;
     }
 
-    /// Totals so far.
+    /// Returns the totals since the start.
     pub fn counts(&self) -> PollerCounts {
         PollerCounts {
             reports: self.shared.reports.load(Ordering::Relaxed),
@@ -447,7 +456,7 @@
     fn drop(&mut self) {
         self.shared.is_stopping.store(true, Ordering::Release);
         if self.thread.take().is_some_and(|t| t.join().is_err()) {
-            tracing::error!("the endpoint poller panicked");
+            tracing::error!("the endpoint poller panicked; load reports had stopped");
         }
     }
 }
@@ -478,9 +487,9 @@
     F: Fn(EndpointReport) + Sync,
 {
     let targets = lock(&shared.targets).clone();
-    let next = AtomicUsize::new(0);
-    let poll_rest = || {
-        while let Some(target) = targets.get(next.fetch_add(1, Ordering::Relaxed)) {
+    let next_index = AtomicUsize::new(0);
+    let poll_remaining = || {
+        while let Some(target) = targets.get(next_index.fetch_add(1, Ordering::Relaxed)) {
             if shared.is_stopping.load(Ordering::Acquire) {
                 return;
             }
@@ -490,12 +499,12 @@
     let workers = shared.config.max_concurrent.min(targets.len());
     thread::scope(|scope| {
         for _ in 1..workers {
-            let spawned = thread::Builder::new().spawn_scoped(scope, poll_rest);
+            let spawned = thread::Builder::new().spawn_scoped(scope, poll_remaining);
             if let Err(error) = spawned {
-                tracing::warn!(%error, "could not start a poll thread");
+                tracing::warn!(%error, "could not start a poll thread; the round runs on fewer threads");
             }
         }
-        poll_rest();
+        poll_remaining();
     });
 }
 
@@ -503,17 +512,17 @@
 where
     F: Fn(EndpointReport),
 {
-    let known = lock(&shared.known).get(&target.id).cloned();
+    let last_report = lock(&shared.last_reports).get(&target.id).cloned();
     let timeout = Duration::from_millis(shared.config.timeout_ms.0);
-    match poll_endpoint(target, known.as_ref(), timeout) {
+    match poll_endpoint(target, last_report.as_ref(), timeout) {
         Ok(report) => {
             shared.reports.fetch_add(1, Ordering::Relaxed);
-            lock(&shared.known).insert(target.id.clone(), report.clone());
+            lock(&shared.last_reports).insert(target.id.clone(), report.clone());
             on_report(report);
         }
         Err(error) => {
             shared.failures.fetch_add(1, Ordering::Relaxed);
-            tracing::debug!(%error, "poll failed");
+            tracing::debug!(%error, "poll failed; the endpoint is polled again in the next round");
         }
     }
 }
--- a/src/sink.rs
+++ b/src/sink.rs
@@ -1,4 +1,5 @@
-//! Where the answer to one request goes.
+//! Destination of the response to one request: a caller, the host that forwarded
+//! the request, or memory.
 
 use std::time::{
     Duration,
@@ -26,12 +27,12 @@
     upstream, //
 };
 
-/// Longest wait for a caller that does not read.
+/// Timeout of one write to a caller or host that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 const CAPTURED_STREAM: &str = "an answer that is kept cannot be a stream";
 
-/// How far the answer has been written.
+/// How far the response has been written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Nothing,
@@ -40,14 +41,14 @@
     Failed,
 }
 
-/// An answer that is kept instead of written.
+/// A response that is kept in memory instead of written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CapturedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Fields of the endpoint's answer.
+    /// Header fields of the endpoint's response.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
@@ -58,7 +59,7 @@
     Capture(Option<CapturedResponse>),
 }
 
-/// The caller's side of one exchange.
+/// Writer of the response to one request.
 #[derive(Debug)]
 pub struct ResponseSink<'a, 'b> {
     output: Output<'a, 'b>,
@@ -68,17 +69,17 @@
 }
 
 impl<'a, 'b> ResponseSink<'a, 'b> {
-    /// A sink that writes to a caller's connection.
+    /// Returns a sink that writes to a caller's connection.
     pub fn new(connection: Connection, request: RequestId) -> Self {
         Self::with_output(Output::Caller(connection), request)
     }
 
-    /// A sink that answers the host that forwarded the request.
+    /// Returns a sink that responds to the host that forwarded the request.
     pub fn for_host(exchange: &'a mut ServerExchange<'b>, request: RequestId) -> Self {
         Self::with_output(Output::Host(HostOutput::new(exchange)), request)
     }
 
-    /// A sink that keeps a whole answer; nobody waits at its other side.
+    /// Returns a sink that keeps a complete response in memory.
     pub fn capturing(request: RequestId) -> Self {
         Self::with_output(Output::Capture(None), request)
     }
@@ -92,13 +93,13 @@
         }
     }
 
-    /// The same sink; the answer tells the caller that the connection closes.
+    /// Sets whether the response announces that the connection closes.
     pub fn with_closing(mut self, is_closing: bool) -> Self {
         self.is_closing = is_closing;
         self
     }
 
-    /// The connection, if another request may follow on it.
+    /// Returns the caller's connection if it can carry another request.
     pub fn into_connection(self) -> Option<Connection> {
         let is_reusable = self.progress == Progress::Ended && !self.is_closing;
         match self.output {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The answer that was kept.
+    /// Returns the captured response, if any.
     pub fn into_captured(self) -> Option<CapturedResponse> {
         match self.output {
             Output::Capture(answer) => answer,
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Whether the caller has closed its end.
+    /// Returns whether the caller, or the forwarding host, has disconnected or
+    /// cancelled.
     pub fn is_disconnected(&mut self) -> bool {
         match &mut self.output {
             Output::Caller(connection) => connection.is_closed_by_peer(),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete response.
     pub fn write_response(
         &mut self,
         status: u16,
@@ -149,7 +151,7 @@
         self.update_progress(result, Progress::Ended)
     }
 
-    /// Writes the head of a stream.
+    /// Writes the head of a streamed response with status 200.
     pub fn start_stream(&mut self, headers: Headers) -> Result<(), MessageError> {
         let headers = self.with_common_headers(headers);
         let result = match &mut self.output {
@@ -162,7 +164,7 @@
         self.update_progress(result, Progress::Streaming)
     }
 
-    /// Writes a piece of a stream at once.
+    /// Writes part of a streamed response without buffering.
     pub fn write_piece(&mut self, bytes: &[u8]) -> Result<(), MessageError> {
         let result = match &mut self.output {
             Output::Caller(connection) => server::write_chunk(connection, bytes, deadline()),
@@ -172,7 +174,7 @@
         self.update_progress(result, Progress::Streaming)
     }
 
-    /// Writes the proper end of a stream.
+    /// Writes the end of a complete stream.
     pub fn end_stream(&mut self) -> Result<(), MessageError> {
         let result = match &mut self.output {
             Output::Caller(connection) => server::end_chunked(connection, deadline()),
@@ -182,9 +184,10 @@
         self.update_progress(result, Progress::Ended)
     }
 
-    /// Writes a final answer without a result.
+    /// Writes an error as the final response.
     ///
-    /// A stream that has started gets an error event and no proper end.
+    /// A stream that has started gets an error event and is not terminated, so
+    /// that it does not look complete.
     pub fn write_error(&mut self, answer: &ErrorAnswer) {
         let body = answer.to_json();
         let result = match self.progress {
@@ -204,7 +207,7 @@
             Progress::Ended | Progress::Failed => Ok(()),
         };
         if let Err(error) = result {
-            tracing::debug!(request = %self.request, %error, "caller did not take the final answer");
+            tracing::debug!(request = %self.request, %error, "could not write the error response to the caller");
         }
     }
 
@@ -231,7 +234,7 @@
     }
 }
 
-/// The host that forwarded a request.
+/// Writer to the host that forwarded a request.
 #[derive(Debug)]
 struct HostOutput<'a, 'b> {
     exchange: &'a mut ServerExchange<'b>,
@@ -261,7 +264,7 @@
     }
 
     fn write_end(&mut self) -> Result<(), MessageError> {
-        // The host that asked counts the tokens itself.
+        // The forwarding host counts the tokens itself.
         let frame = Frame::ResponseEnd {
             output_tokens: Tokens(0),
             cached_tokens: Tokens(0),
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,4 +1,5 @@
-//! The side of an exchange that produces the answer: an endpoint or a host.
+//! Source of a response: an endpoint, or a host of another region that a request
+//! was forwarded to.
 
 use std::{
     net::SocketAddr,
@@ -38,12 +39,12 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why nothing could be read.
+/// Why a read from an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// Nothing came yet; the read may be repeated.
+    /// No data arrived before the deadline; the read can be repeated.
     TimedOut,
-    /// The answer will not be whole.
+    /// The response cannot be completed.
     Failed,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// Status and fields of an answer.
+/// Status and header fields of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamHead {
     /// HTTP status.
@@ -74,21 +75,21 @@
     pub headers: Headers,
 }
 
-/// How a host replied to a forwarded request.
+/// First part of the reply of an upstream.
 #[derive(Debug)]
 pub enum UpstreamReply {
-    /// It has an answer, whose body follows.
+    /// Head of a response, whose body follows.
     Response(UpstreamHead),
-    /// It gave the request up before any part of the answer.
+    /// A host refused the request before it sent any part of a response.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// Whether the request ran.
+        /// Whether the request has run.
         run_state: RunStateWord,
     },
 }
 
-/// Connects to an endpoint; no byte of a request is sent.
+/// Connects to an endpoint without sending any byte of a request.
 pub fn connect(address: SocketAddr, deadline: Instant) -> Result<Connection, MessageError> {
     let remaining = deadline.saturating_duration_since(Instant::now());
     client::connect(
@@ -97,40 +98,42 @@
     )
 }
 
-/// An exchange whose answer is being read.
+/// A request whose response is being read.
 #[derive(Debug)]
 pub enum Upstream {
-    /// An endpoint, over a connection of its own.
+    /// An endpoint, over a connection for this request only.
     Endpoint {
-        /// The connection.
+        /// Connection to the endpoint.
         connection: Connection,
-        /// Reads the body once the head is there.
+        /// Reads the body; `None` until the head has been read.
         body: Option<BodyReader>,
     },
     /// A host of another region.
     Host {
-        /// The exchange with it.
+        /// Exchange with the host.
         exchange: Exchange,
-        /// Whether its final frame has been read.
+        /// Whether the host's final frame has been read.
         is_ended: bool,
     },
 }
 
 impl Upstream {
-    /// Sends a call to an endpoint; an error means that part may have arrived.
+    /// Sends a request to an endpoint.
+    ///
+    /// After an error, part of the request may have arrived.
     pub fn send(
         mut connection: Connection,
-        call: &HttpRequest,
+        request: &HttpRequest,
         deadline: Instant,
     ) -> Result<Self, MessageError> {
-        client::send(&mut connection, call, deadline)?;
+        client::send(&mut connection, request, deadline)?;
         Ok(Self::Endpoint {
             connection,
             body: None,
         })
     }
 
-    /// The answer of a host to a request that was sent.
+    /// Returns the upstream of a request that was sent to a host.
     pub fn from_exchange(exchange: Exchange) -> Self {
         Self::Host {
             exchange,
@@ -138,13 +141,13 @@
         }
     }
 
-    /// Reads the head of an answer or the refusal of a host.
+    /// Reads the head of a response or the refusal of a host.
     pub fn read_head(&mut self, until: Instant) -> Result<UpstreamReply, ReadError> {
         match self {
             Self::Endpoint { connection, body } => {
                 let head = connection.read_response_head(until)?;
                 let framing = head.framing()?;
-                // Without a length or chunks, a cut looks like the end.
+                // Without a length or chunks, a truncated body looks complete.
                 if framing == Framing::UntilClose {
                     return Err(ReadError::Failed);
                 }
@@ -173,7 +176,8 @@
         }
     }
 
-    /// Appends the next piece of the body; false at its proper end.
+    /// Appends the next part of the body to `out`; returns false at the end of a
+    /// complete body.
     pub fn read_piece(&mut self, out: &mut Vec<u8>, until: Instant) -> Result<bool, ReadError> {
         match self {
             Self::Endpoint { connection, body } => {
@@ -197,14 +201,14 @@
         }
     }
 
-    /// Reads the end of a host's answer, so that the connection can be reused.
+    /// Reads the end of a host's response, so that the connection can be reused.
     pub fn finish(mut self, until: Instant) {
-        // Without it the connection is closed, which does no harm.
+        // If this fails, the connection is closed instead of reused.
         let _ = self.read_piece(&mut Vec::new(), until);
     }
 }
 
-/// Header fields as they travel between hosts.
+/// Converts header fields to the form used between hosts.
 pub fn to_fields(headers: &Headers) -> Vec<Field> {
     headers
         .iter()
@@ -215,7 +219,7 @@
         .collect()
 }
 
-/// Header fields that came from another host.
+/// Converts header fields received from another host.
 pub fn from_fields(fields: &[Field]) -> Headers {
     let mut headers = Headers::new();
     for field in fields {
