--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -1,5 +1,5 @@
-//! Promise `partition`: during a network partition a region keeps serving its
-//! own callers.
+//! Guarantee `partition`: during a network partition a region continues to serve
+//! its own callers.
 
 mod testenv;
 
@@ -43,21 +43,21 @@
 };
 
 const REGIONS: [&str; 3] = ["stred", "zapad", "sever"];
-const OTHERS: [&str; 2] = ["stred", "sever"];
-/// Target for everything to agree again after a cut.
-const CONVERGED: Duration = Duration::from_secs(4);
-/// Target for a leaving endpoint to get no new work.
-const LEAVING_KNOWN: Duration = Duration::from_secs(3);
-/// How long a region is watched while it is cut off; others are taken for dead
-/// after 2 s and their summaries for old after 3 s.
-const CUT: Duration = Duration::from_millis(3_500);
-/// Length of the answers that a failure of the links meets.
+const OTHER_REGIONS: [&str; 2] = ["stred", "sever"];
+/// Time limit for all hosts to converge after a partition.
+const CONVERGENCE_LIMIT: Duration = Duration::from_secs(4);
+/// Time limit after which a leaving endpoint gets no new requests.
+const LEAVING_ENDPOINT_LIMIT: Duration = Duration::from_secs(3);
+/// Duration of a partition; other hosts are considered dead after 2 s and their
+/// summaries stale after 3 s.
+const PARTITION_DURATION: Duration = Duration::from_millis(3_500);
+/// Length of the responses that are in progress when the links fail.
 const TOKENS: u64 = 150;
-/// Streams, and as many plain answers, that it meets. More would use up the
-/// retries that a host has saved, since each may need two.
+/// Streams, and as many non-streamed responses, in progress when the links fail.
+/// More would exceed the retry budget of a host, since each may need two retries.
 const STREAMS: usize = 2;
-/// Deadline of the intent, and the grace for the final answer.
-const ANSWERED: Duration = Duration::from_secs(11);
+/// Deadline that the intent sets, plus the time allowed for the final response.
+const RESPONSE_LIMIT: Duration = Duration::from_secs(11);
 
 fn addresses(env: &TestEnv, region: &str) -> Vec<SocketAddr> {
     let hosts = env.hosts.iter().filter(|host| host.region == region);
@@ -65,7 +65,7 @@
 }
 
 /// Waits until every host lists every host.
-fn wait_until_all_are_known(env: &TestEnv, timeout: Duration) {
+fn wait_until_all_hosts_are_listed(env: &TestEnv, timeout: Duration) {
     for host in &env.hosts {
         wait_for(timeout, "entry hosts of all regions", || {
             entry_hosts(host.address).len() >= env.hosts.len()
@@ -80,9 +80,9 @@
     assert_eq!(answer.text(), expected_text(prompt, 8));
 }
 
-/// Checks that all hosts serve for as long as a cut is watched.
+/// Checks that all hosts serve throughout a partition.
 fn assert_all_serve(env: &TestEnv) {
-    let until = Instant::now() + CUT;
+    let until = Instant::now() + PARTITION_DURATION;
     let mut number = 0;
     while Instant::now() < until {
         for host in &env.hosts {
@@ -97,11 +97,12 @@
     TestbedOptions::new().with_hosts_per_region(2)
 }
 
-/// Guards against a region that needs the store or another region to serve.
+/// Guards against a region that depends on the store or on another region to
+/// serve its callers.
 #[test]
 fn a_region_serves_its_callers_while_it_is_cut_off() {
     let mut env = TestEnv::start(&two_hosts());
-    wait_until_all_are_known(&env, CONVERGED);
+    wait_until_all_hosts_are_listed(&env, CONVERGENCE_LIMIT);
 
     env.testbed.set_platform_cut("zapad", true);
     assert_all_serve(&env);
@@ -111,19 +112,20 @@
     assert_all_serve(&env);
 }
 
-/// Cuts zapad off from the store and from both other regions, or joins it again.
-fn set_zapad_cut(env: &mut TestEnv, is_cut: bool) {
+/// Partitions zapad from the store and from both other regions, or reconnects it.
+fn set_zapad_partitioned(env: &mut TestEnv, is_cut: bool) {
     env.testbed.set_platform_cut("zapad", is_cut);
-    for other in OTHERS {
+    for other in OTHER_REGIONS {
         env.testbed.set_cut_between("zapad", other, is_cut);
     }
 }
 
-/// Guards against a host that gets its configuration only from the store.
+/// Guards against a host that can read its configuration only from the store: it
+/// restarts during a partition and must get it from another host of its region.
 #[test]
-fn a_host_that_restarts_while_cut_off_becomes_ready_through_its_neighbour() {
+fn a_host_that_restarts_while_cut_off_becomes_ready_through_another_host() {
     let mut env = TestEnv::start(&two_hosts());
-    set_zapad_cut(&mut env, true);
+    set_zapad_partitioned(&mut env, true);
     let revision = revision_at(env.host("zapad").address);
 
     let host = env.host_mut("zapad");
@@ -131,29 +133,30 @@
     host.start();
 
     let address = env.host("zapad").address;
-    wait_for(CONVERGED, "ready through a neighbour", || {
+    wait_for(CONVERGENCE_LIMIT, "ready through another host", || {
         revision_at(address) >= revision
     });
 }
 
-/// Guards against a host that is ready but cannot serve, since it knows no
-/// endpoint.
+/// Guards against a host that is ready but cannot serve, because it restarted
+/// during a partition and knows no endpoint.
 #[test]
 fn a_host_that_restarts_while_cut_off_serves() {
     let mut env = TestEnv::start(&two_hosts());
-    wait_until_all_are_known(&env, CONVERGED);
-    set_zapad_cut(&mut env, true);
+    wait_until_all_hosts_are_listed(&env, CONVERGENCE_LIMIT);
+    set_zapad_partitioned(&mut env, true);
 
     let host = env.host_mut("zapad");
     host.kill();
     host.start();
     env.host("zapad").wait_ready();
-    thread::sleep(CUT);
+    thread::sleep(PARTITION_DURATION);
 
     assert_serves(&env, env.host("zapad").address, "after a restart");
 }
 
-/// Guards against a host that takes work without a configuration.
+/// Guards against a host that accepts requests without a configuration: it starts
+/// while the store is down and no other host can supply one.
 #[test]
 fn a_host_that_starts_alone_during_an_outage_refuses_until_the_store_is_back() {
     let options = TestbedOptions::new();
@@ -165,7 +168,7 @@
     env.testbed.platform.set_down(true);
     env.hosts[0].start();
     let address = env.hosts[0].address;
-    wait_for(CONVERGED, "an open port", || {
+    wait_for(CONVERGENCE_LIMIT, "an open port", || {
         Caller::new(address).get("/healthz").is_ok()
     });
 
@@ -182,37 +185,38 @@
     }
     env.testbed.platform.set_down(false);
 
-    wait_for(CONVERGED, "ready", || env.hosts[0].is_ready());
+    wait_for(CONVERGENCE_LIMIT, "ready", || env.hosts[0].is_ready());
 }
 
-/// Guards against a region that stays behind after a cut.
+/// Guards against a region that keeps an old revision or list of hosts after a
+/// partition ends.
 #[test]
-fn everything_converges_after_a_cut() {
+fn all_hosts_converge_after_a_partition() {
     let options = two_hosts();
     let mut env = TestEnv::start(&options);
-    wait_until_all_are_known(&env, CONVERGED);
-    set_zapad_cut(&mut env, true);
+    wait_until_all_hosts_are_listed(&env, CONVERGENCE_LIMIT);
+    set_zapad_partitioned(&mut env, true);
     let changed = Testbed::intent_text(&options).replace("permille = 950", "permille = 940");
     let accepted = env.testbed.accept(&changed);
     let revision = accepted.expect("the change must be accepted").revision.0;
-    thread::sleep(CUT);
+    thread::sleep(PARTITION_DURATION);
     for address in addresses(&env, "zapad") {
         assert!(revision_at(address) < revision, "zapad is not cut off");
         assert_eq!(entry_hosts(address).len(), 2, "zapad is not cut off");
     }
 
-    set_zapad_cut(&mut env, false);
+    set_zapad_partitioned(&mut env, false);
 
-    let joined = Instant::now();
+    let reconnected = Instant::now();
     for host in &env.hosts {
-        let left = CONVERGED.saturating_sub(joined.elapsed());
-        wait_for(left, "the change in force", || {
+        let remaining = CONVERGENCE_LIMIT.saturating_sub(reconnected.elapsed());
+        wait_for(remaining, "the change in force", || {
             revision_at(host.address) >= revision
         });
     }
     for host in &env.hosts {
-        let left = CONVERGED.saturating_sub(joined.elapsed());
-        wait_for(left, "all hosts known", || {
+        let remaining = CONVERGENCE_LIMIT.saturating_sub(reconnected.elapsed());
+        wait_for(remaining, "all hosts known", || {
             entry_hosts(host.address).len() >= env.hosts.len()
         });
     }
@@ -221,10 +225,10 @@
 /// How the links between regions fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Failure {
-    /// All connections break.
+    /// All connections are closed.
     Cut,
-    /// Nothing arrives, and nobody is told.
-    Silence,
+    /// Traffic stops, but connections stay open and report no error.
+    Freeze,
 }
 
 fn fail_links(env: &mut TestEnv, failure: Failure) {
@@ -235,14 +239,14 @@
             }
         }
     }
-    if failure == Failure::Silence {
+    if failure == Failure::Freeze {
         for seat in &env.testbed.seats {
             seat.peer_wire.set_frozen(true);
         }
     }
 }
 
-/// Engines that take about three seconds for the longest answers of these tests.
+/// Engines that take about three seconds for the longest responses of these tests.
 fn slow_engines() -> ModelOptions {
     ModelOptions {
         step: Duration::from_millis(20),
@@ -250,7 +254,7 @@
     }
 }
 
-/// Starts one more engine at home and puts it on the list.
+/// Starts one more engine in the home region and registers it.
 fn add_home_engine(env: &TestEnv) -> EngineStandin {
     let options = EngineOptions::new(MODEL).with_speed(slow_engines());
     let standin = EngineStandin::start(options).expect("the engine must start");
@@ -265,15 +269,18 @@
     standin
 }
 
-/// Requests running at engines outside of home.
-fn running_away(env: &TestEnv) -> u32 {
-    let away = ["zapad", "sever"].into_iter();
-    away.flat_map(|region| env.testbed.engines_in(region))
+/// Requests running at engines outside the home region.
+fn running_remotely(env: &TestEnv) -> u32 {
+    let remote = ["zapad", "sever"].into_iter();
+    remote
+        .flat_map(|region| env.testbed.engines_in(region))
         .map(|engine| engine.standin.load().running)
         .sum()
 }
 
-fn assert_honest_stream(stream: &StreamResponse, prompt: &str) -> bool {
+/// Checks that a stream is complete, or ends with an error that states the
+/// request's run state; returns whether it is complete.
+fn assert_stream_state(stream: &StreamResponse, prompt: &str) -> bool {
     let expected = expected_text(prompt, TOKENS as usize);
     if stream.error.is_none() && stream.status == 200 {
         assert!(stream.has_done && stream.has_proper_end, "{stream:?}");
@@ -283,27 +290,27 @@
     assert!(expected.starts_with(&stream.text), "{stream:?}");
     let error = stream.error.clone().unwrap_or_default();
     let run_state = error["error"]["run_state"].as_str().unwrap_or_default();
-    let honest = match stream.text.is_empty() {
+    let is_consistent = match stream.text.is_empty() {
         true => ["unknown", "not_run"].contains(&run_state),
         false => run_state == "partial",
     };
-    assert!(honest, "{stream:?}");
+    assert!(is_consistent, "{stream:?}");
     false
 }
 
-/// Lets forwarded requests meet a failure of the links; returns how many of the
-/// streams and how many of the plain answers came whole.
-fn forwarded_requests_meet(failure: Failure) -> (usize, usize) {
+/// Fails the links while forwarded requests are in progress; returns how many
+/// streams and how many non-streamed responses were complete.
+fn fail_links_during_forwarding(failure: Failure) -> (usize, usize) {
     let options = TestbedOptions::new()
         .with_engines_per_region(1)
         .with_speed(slow_engines());
     let mut env = TestEnv::start(&options);
-    wait_until_all_are_known(&env, CONVERGED);
+    wait_until_all_hosts_are_listed(&env, CONVERGENCE_LIMIT);
     for engine in env.testbed.engines_in("stred") {
         engine.standin.set_leaving(true);
     }
-    // Requests that go to the leaving engine first would use up retries.
-    thread::sleep(LEAVING_KNOWN);
+    // Requests sent to the leaving engines first would use up the retry budget.
+    thread::sleep(LEAVING_ENDPOINT_LIMIT);
     let caller = env.caller("stred");
     let prompt = |number: usize| format!("forwarded {number}");
     let streams: Vec<_> = (0..STREAMS)
@@ -329,56 +336,60 @@
         })
         .collect();
     wait_for(Duration::from_secs(2), "requests in other regions", || {
-        running_away(&env) >= 2 * STREAMS as u32
+        running_remotely(&env) >= 2 * STREAMS as u32
     });
     let late = add_home_engine(&env);
-    wait_for(Duration::from_secs(2), "home with an engine again", || {
-        // Refusals are fine here; what counts is that home uses its engine.
-        let _ = caller.chat("home again", 1);
-        !late.seen().is_empty()
-    });
+    wait_for(
+        Duration::from_secs(2),
+        "an engine in the home region again",
+        || {
+            // Refusals are accepted: the request must only reach the new engine.
+            let _ = caller.chat("home again", 1);
+            !late.seen().is_empty()
+        },
+    );
 
     fail_links(&mut env, failure);
 
-    let mut whole = (0, 0);
+    let mut complete = (0, 0);
     for (number, stream) in streams.into_iter().enumerate() {
         let (stream, took) = stream.join().expect("a caller must not panic");
         let stream = stream.expect("the host must answer");
-        whole.0 += usize::from(assert_honest_stream(&stream, &prompt(number)));
-        assert!(took < ANSWERED, "a stream took {took:?}");
+        complete.0 += usize::from(assert_stream_state(&stream, &prompt(number)));
+        assert!(took < RESPONSE_LIMIT, "a stream took {took:?}");
     }
     for (number, chat) in chats.into_iter().enumerate() {
         let (answer, took) = chat.join().expect("a caller must not panic");
         let answer = answer.expect("the host must answer");
-        assert!(took < ANSWERED, "an answer took {took:?}");
+        assert!(took < RESPONSE_LIMIT, "an answer took {took:?}");
         if answer.status == 200 {
             assert_eq!(
                 answer.text(),
                 expected_text(&prompt(STREAMS + number), TOKENS as usize)
             );
-            whole.1 += 1;
+            complete.1 += 1;
         } else {
             assert!(["unknown", "not_run"].contains(&answer.run_state().as_str()));
         }
     }
-    whole
+    complete
 }
 
-/// Guards against a caller left with a cut answer, or one that is called whole,
-/// when the link to the region that answers breaks.
+/// Guards against a truncated response, or one that is reported as complete, when
+/// the connections to the region that serves a forwarded request are closed.
 #[test]
 fn forwarded_requests_resume_at_home_when_the_links_break() {
-    let (streams, answers) = forwarded_requests_meet(Failure::Cut);
+    let (streams, answers) = fail_links_during_forwarding(Failure::Cut);
 
     assert!(streams > 0, "no stream was resumed");
-    assert!(answers > 0, "no answer was repeated");
+    assert!(answers > 0, "no request was retried");
 }
 
-/// Guards against a caller that waits past its deadline because a link fails
-/// without a sign.
+/// Guards against a caller that waits past its deadline because a link stops
+/// delivering data without closing its connections.
 #[test]
-fn forwarded_requests_end_by_their_deadline_when_the_links_fall_silent() {
-    let (streams, _answers) = forwarded_requests_meet(Failure::Silence);
+fn forwarded_requests_end_by_their_deadline_when_the_links_freeze() {
+    let (streams, _answers) = fail_links_during_forwarding(Failure::Freeze);
 
     assert!(streams > 0, "no stream was resumed");
 }
--- a/tests/testenv/mod.rs
+++ b/tests/testenv/mod.rs
@@ -1,8 +1,5 @@
-//! Hosts as real processes in a testbed, and a caller that speaks to them.
-#![allow(
-    dead_code,
-    reason = "each test file uses the part of this module that it needs"
-)]
+//! Hosts as real processes in a testbed, and an HTTP client that calls them.
+#![allow(dead_code, reason = "each test file uses only part of this module")]
 
 use std::{
     fs::{
@@ -59,7 +56,7 @@
 
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One host process.
 pub struct HostProcess {
@@ -73,7 +70,7 @@
 }
 
 impl HostProcess {
-    /// Starts the process; it may not be ready yet.
+    /// Starts the process without waiting until it is ready.
     pub fn start(&mut self) {
         let log = File::options()
             .create(true)
@@ -83,7 +80,7 @@
         let child = Command::new(env!("CARGO_BIN_EXE_cardamombridge"))
             .arg("serve")
             .arg(&self.settings)
-            .current_dir(self.settings.parent().expect("settings lie in a folder"))
+            .current_dir(self.settings.parent().expect("settings are in a directory"))
             .stdout(log.try_clone().expect("the log file must be shared"))
             .stderr(log)
             .spawn()
@@ -98,7 +95,7 @@
         }
     }
 
-    /// Ends the process without any warning.
+    /// Kills the process with `SIGKILL`.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("the host process must end");
@@ -106,7 +103,7 @@
         }
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit; `None` after `timeout`.
     pub fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + timeout;
         let child = self.child.as_mut()?;
@@ -115,7 +112,7 @@
                 self.child = None;
                 return Some(status);
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         None
     }
@@ -134,14 +131,14 @@
         while !self.is_ready() {
             let is_late = Instant::now() >= deadline;
             assert!(!is_late, "{} is not ready:\n{}", self.name, self.log());
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // A frozen process ends by this signal as well.
+        // `SIGKILL` also ends a stopped process.
         self.kill();
     }
 }
@@ -154,7 +151,7 @@
 }
 
 impl TestEnv {
-    /// Starts the surroundings and all hosts, and waits until they are ready.
+    /// Starts the stand-ins and all hosts, and waits until the hosts are ready.
     pub fn start(options: &TestbedOptions) -> Self {
         let mut env = Self::prepare(options);
         let intents = Testbed::intent_text(options);
@@ -170,10 +167,10 @@
         env
     }
 
-    /// Starts the surroundings; no host runs and no intent is accepted.
+    /// Starts the stand-ins; no host runs and no intent is accepted.
     pub fn prepare(options: &TestbedOptions) -> Self {
         let testbed = Testbed::start(options).expect("the testbed must start");
-        let dir = tempfile::tempdir().expect("a folder for settings must be made");
+        let dir = tempfile::tempdir().expect("a directory for settings must be created");
         write(&dir, "cluster.key", testbed::CLUSTER_KEY);
         write(&dir, "operator.key", testbed::OPERATOR_KEY);
         let hosts = testbed
@@ -209,7 +206,7 @@
         self.wait_live(self.testbed.engines.len() + self.testbed.services.len());
     }
 
-    /// Does the same when the list shows `endpoints` endpoints.
+    /// Like [`Self::wait_settled`], but for `endpoints` live endpoints.
     pub fn wait_live(&self, endpoints: usize) {
         let deadline = Instant::now() + READY_TIMEOUT;
         for host in &self.hosts {
@@ -217,7 +214,7 @@
                 let is_late = Instant::now() >= deadline;
                 let status = self.status(host);
                 assert!(!is_late, "not settled: {status:?}\n{}", self.logs());
-                thread::sleep(POLL);
+                thread::sleep(POLL_INTERVAL);
             }
         }
     }
@@ -246,7 +243,7 @@
         knows_hosts && knows_regions && live as usize == endpoints
     }
 
-    /// The first host of a region.
+    /// Returns the first host of a region.
     pub fn host(&self, region: &str) -> &HostProcess {
         let mut hosts = self.hosts.iter().filter(|host| host.region == region);
         hosts.next().expect("the region must have a host")
@@ -257,12 +254,12 @@
         hosts.next().expect("the region must have a host")
     }
 
-    /// A caller at the first host of a region.
+    /// Returns a caller that uses the first host of a region.
     pub fn caller(&self, region: &str) -> Caller {
         Caller::new(self.host(region).address).with_key(CALLER_KEY)
     }
 
-    /// The logs of all hosts, for the message of a failed check.
+    /// Returns the logs of all hosts, for the message of a failed assertion.
     pub fn logs(&self) -> String {
         let logs = self
             .hosts
@@ -286,11 +283,11 @@
     let deadline = Instant::now() + timeout;
     while !is_true() {
         assert!(Instant::now() < deadline, "timed out: {what}");
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A whole answer as a caller sees it.
+/// A complete response as the caller received it.
 #[derive(Debug, Clone)]
 pub struct CallerResponse {
     pub status: u16,
@@ -318,7 +315,7 @@
     }
 }
 
-/// What a caller read of a stream.
+/// The part of a streamed response that the caller received.
 #[derive(Debug, Clone, Default)]
 pub struct StreamResponse {
     pub status: u16,
@@ -326,11 +323,11 @@
     pub has_done: bool,
     pub has_proper_end: bool,
     pub error: Option<Value>,
-    /// When each piece with text arrived, from the start of the call.
+    /// Arrival time of each event with text, from the start of the request.
     pub arrivals: Vec<Duration>,
 }
 
-/// An ordinary client of one host.
+/// HTTP client of one host.
 #[derive(Debug, Clone)]
 pub struct Caller {
     address: SocketAddr,
@@ -387,18 +384,19 @@
         })
     }
 
-    /// Asks for a plain answer.
+    /// Requests a non-streamed response.
     pub fn chat(&self, prompt: &str, max_tokens: u64) -> Result<CallerResponse, MessageError> {
         let body = chat_body(prompt, max_tokens, false);
         self.call("POST", "/v1/chat/completions", body)
     }
 
-    /// Asks for a stream and reads it to its end.
+    /// Requests a stream and reads it to its end.
     pub fn stream(&self, prompt: &str, max_tokens: u64) -> Result<StreamResponse, MessageError> {
         self.stream_with(prompt, max_tokens, |_| {})
     }
 
-    /// Asks for a stream; `on_piece` hears how many pieces with text have come.
+    /// Requests a stream; `on_piece` receives the number of events with text so
+    /// far, after each of them.
     pub fn stream_with<F>(
         &self,
         prompt: &str,
@@ -424,9 +422,9 @@
             let is_end = !matches!(count, Ok(count) if count > 0);
             while let Some(end) = bytes.windows(2).position(|pair| pair == b"\n\n") {
                 let event: Vec<u8> = bytes.drain(..end + 2).collect();
-                let had = read.arrivals.len();
-                read.take(&String::from_utf8_lossy(&event), started);
-                if read.arrivals.len() > had {
+                let previous_count = read.arrivals.len();
+                read.add_event(&String::from_utf8_lossy(&event), started);
+                if read.arrivals.len() > previous_count {
                     on_piece(read.arrivals.len());
                 }
             }
@@ -464,7 +462,7 @@
 }
 
 impl StreamResponse {
-    fn take(&mut self, event: &str, started: Instant) {
+    fn add_event(&mut self, event: &str, started: Instant) {
         let Some(data) = event.trim().strip_prefix("data:").map(str::trim) else {
             return;
         };
@@ -497,7 +495,7 @@
     .into_bytes()
 }
 
-/// The answer that every engine derives from the same request.
+/// Response text that every engine derives from the same request.
 pub fn expected_text(prompt: &str, max_tokens: usize) -> String {
     use cardamombridge::standin::answer::{
         ChatMessage,
@@ -513,7 +511,7 @@
     value["revision"].as_u64().unwrap_or_default()
 }
 
-/// Names of the entry hosts that a host tells the caller of all regions.
+/// Names of the entry hosts that a host returns to its callers.
 pub fn entry_hosts(address: SocketAddr) -> Vec<String> {
     let answer = Caller::new(address).with_key(CALLER_KEY).get("/v1/entry");
     let value = answer.map(|answer| answer.json()).unwrap_or_default();
@@ -522,7 +520,7 @@
     names.map(str::to_string).collect()
 }
 
-/// Repeats a call that is refused with 503, for at most [`REFUSAL_RETRY_TIMEOUT`], since
+/// Retries a call that is refused with 503, for at most [`REFUSAL_RETRY_TIMEOUT`], since
 /// a host sends only a part of its requests to another region at once; returns
 /// how long the last call took.
 pub fn retry_while_refused<F, S, A>(call: F, status: S) -> (Result<A, MessageError>, Duration)
