--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a clear error, and the host goes on serving others.
+//! Invalid input is refused with a specific error, and the host continues to serve
+//! other requests.
 
 mod testenv;
 
@@ -41,10 +42,10 @@
     wait_for, //
 };
 
-/// The stated limit for the head of a request.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+/// Documented time limit for receiving the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 const SEED: u64 = 20_261_203;
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn start() -> TestEnv {
     TestEnv::start(&TestbedOptions::new())
@@ -63,28 +64,30 @@
     assert_eq!(answer.text(), expected_text("after bad input", 8));
 }
 
-fn random_bytes(rng: &mut Pcg64Mcg, most: usize) -> Vec<u8> {
-    let mut bytes = vec![0; rng.random_range(1..most)];
+fn random_bytes(rng: &mut Pcg64Mcg, max_length: usize) -> Vec<u8> {
+    let mut bytes = vec![0; rng.random_range(1..max_length)];
     rng.fill_bytes(&mut bytes);
     bytes
 }
 
-/// Writes raw bytes and returns what comes back until the host closes.
+/// Writes raw bytes and returns the response, read until the host closes the
+/// connection.
 fn send_raw(address: SocketAddr, bytes: &[u8], timeout: Duration) -> String {
     let mut stream = TcpStream::connect(address).expect("the host must accept");
     stream
         .set_read_timeout(Some(timeout))
         .expect("a timeout must be set");
-    // The host may close before it has read everything.
+    // The host may close the connection before it has read all bytes.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Guards against requests that are passed on although they cannot be read.
+/// Guards against invalid requests that are sent to an engine, and against errors
+/// that do not name the invalid field.
 #[test]
-fn a_malformed_request_is_refused_with_the_field_at_fault() {
+fn a_malformed_request_is_refused_with_the_invalid_field() {
     let env = start();
     let cases: [(&[u8], &str); 6] = [
         (b"{", "not valid JSON"),
@@ -118,7 +121,8 @@
     assert_eq!(seen.sum::<usize>(), 1);
 }
 
-/// Guards against unknown models, paths and methods that reach an engine.
+/// Guards against requests for unknown models, services, paths or methods that
+/// are not refused as not run.
 #[test]
 fn unknown_names_are_refused() {
     let env = start();
@@ -143,7 +147,8 @@
     );
 }
 
-/// Guards against a head or body that fills the memory.
+/// Guards against memory exhaustion by a large head or body, with or without an
+/// announced length.
 #[test]
 fn an_oversized_head_or_body_is_refused() {
     let env = start();
@@ -168,10 +173,10 @@
         "a".repeat(MAX_BODY_BYTES + 1)
     );
 
-    let long_head = send_raw(address, head.as_bytes(), ANSWER_LIMIT);
-    let many_fields = send_raw(address, many.as_bytes(), ANSWER_LIMIT);
-    let long_body = send_raw(address, announced.as_bytes(), ANSWER_LIMIT);
-    let long_chunk = send_raw(address, chunked.as_bytes(), ANSWER_LIMIT);
+    let long_head = send_raw(address, head.as_bytes(), RESPONSE_TIMEOUT);
+    let many_fields = send_raw(address, many.as_bytes(), RESPONSE_TIMEOUT);
+    let long_body = send_raw(address, announced.as_bytes(), RESPONSE_TIMEOUT);
+    let long_chunk = send_raw(address, chunked.as_bytes(), RESPONSE_TIMEOUT);
 
     assert!(long_head.starts_with("HTTP/1.1 431"), "{long_head}");
     assert!(many_fields.starts_with("HTTP/1.1 400"), "{many_fields}");
@@ -183,8 +188,8 @@
     assert_serves(&env);
 }
 
-/// Guards against two views of where a body ends, which let a caller hide a
-/// second request.
+/// Guards against request smuggling: a body length that can be read in two ways
+/// lets a caller hide a second request.
 #[test]
 fn an_ambiguous_body_length_is_refused() {
     let env = start();
@@ -199,7 +204,11 @@
     ];
 
     for field in fields {
-        let answer = send_raw(address, format!("{start}{field}").as_bytes(), ANSWER_LIMIT);
+        let answer = send_raw(
+            address,
+            format!("{start}{field}").as_bytes(),
+            RESPONSE_TIMEOUT,
+        );
 
         assert!(answer.starts_with("HTTP/1.1 400"), "{field}: {answer}");
         assert!(answer.contains("connection: close"), "{field}: {answer}");
@@ -207,13 +216,14 @@
     assert_serves(&env);
 }
 
-/// Guards against connections that a slow sender holds for ever.
+/// Guards against connections that a slow sender keeps open without limit: it
+/// starts a head and never completes it.
 #[test]
-fn a_slow_sender_is_cut_off() {
+fn a_slow_sender_is_disconnected() {
     let env = start();
     let mut stream = TcpStream::connect(env.host("stred").address).expect("a connection");
     stream
-        .set_read_timeout(Some(HEAD_LIMIT + ANSWER_LIMIT))
+        .set_read_timeout(Some(HEAD_TIMEOUT + RESPONSE_TIMEOUT))
         .expect("a timeout must be set");
     let started = Instant::now();
     stream
@@ -225,13 +235,13 @@
 
     assert!(read.is_ok(), "the connection stayed open");
     assert!(answer.starts_with(b"HTTP/1.1 408"));
-    assert!(started.elapsed() >= HEAD_LIMIT - Duration::from_millis(100));
+    assert!(started.elapsed() >= HEAD_TIMEOUT - Duration::from_millis(100));
     assert_serves(&env);
 }
 
-/// Guards against a panic or an answer to bytes that are no request.
+/// Guards against a panic or a success response on bytes that are not a request.
 #[test]
-fn random_bytes_end_in_an_error_or_a_close() {
+fn random_bytes_get_an_error_or_a_closed_connection() {
     let env = start();
     let address = env.host("stred").address;
     let mut rng = Pcg64Mcg::seed_from_u64(SEED);
@@ -239,7 +249,7 @@
     for _ in 0..60 {
         let mut bytes = random_bytes(&mut rng, 400);
         bytes.extend_from_slice(b"\r\n\r\n");
-        let answer = send_raw(address, &bytes, ANSWER_LIMIT);
+        let answer = send_raw(address, &bytes, RESPONSE_TIMEOUT);
 
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
@@ -250,7 +260,7 @@
     assert!(!env.host("stred").log().contains("panicked"));
 }
 
-/// Guards against datagrams that a host takes without the cluster key.
+/// Guards against a host that accepts datagrams not sealed with the cluster key.
 #[test]
 fn corrupt_datagrams_change_nothing() {
     let env = start();
@@ -270,12 +280,12 @@
         let entry = env.caller("stred").get("/v1/entry").expect("an answer");
         entry.json()["hosts"].as_array().map_or(0, Vec::len)
     };
-    wait_for(ANSWER_LIMIT, "the hosts are listed", || listed() > 0);
+    wait_for(RESPONSE_TIMEOUT, "the hosts are listed", || listed() > 0);
     assert!(listed() <= 3, "{} hosts are listed", listed());
     assert!(!env.host("stred").log().contains("panicked"));
 }
 
-/// Guards against a wrong key that works, or that shows in a log.
+/// Guards against a wrong caller key that is accepted, and against keys in logs.
 #[test]
 fn a_wrong_key_is_refused_and_not_logged() {
     let env = start();
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Promise `graceful_shutdown`: a graceful shutdown interrupts no request in
+//! Guarantee `graceful_shutdown`: a graceful shutdown interrupts no request in
 //! progress.
 
 mod testenv;
@@ -38,21 +38,21 @@
 };
 
 const TOKENS: u64 = 150;
-const PER_KIND: usize = 3;
-const KNOWN: Duration = Duration::from_secs(5);
-/// Target for a leaving endpoint to get no new work.
-const LEAVING_KNOWN: Duration = Duration::from_secs(3);
-/// Target for other hosts to stop forwarding to a leaving host.
-const NOT_FORWARDED: Duration = Duration::from_secs(2);
-/// Target for other hosts to list a leaving host no longer.
-const NOT_LISTED: Duration = Duration::from_secs(3);
-/// The longest request, then the handover of the tickets.
+const REQUESTS_PER_KIND: usize = 3;
+const SETUP_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit after which a leaving endpoint gets no new requests.
+const LEAVING_ENDPOINT_LIMIT: Duration = Duration::from_secs(3);
+/// Time limit for other hosts to stop forwarding to a leaving host.
+const FORWARDING_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for other hosts to stop listing a leaving host.
+const LISTING_LIMIT: Duration = Duration::from_secs(3);
+/// Covers the longest request and the handover of the tickets after it.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// For a process that ends without waiting for its requests, which take longer.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Time limit for an immediate effect; requests in progress take longer.
+const IMMEDIATE_LIMIT: Duration = Duration::from_secs(1);
 const SERVICE_DELAY: Duration = Duration::from_secs(2);
 
-/// Engines that take three seconds for the answers of these tests.
+/// Options with engines that take three seconds for the responses of these tests.
 fn options() -> TestbedOptions {
     let speed = ModelOptions {
         step: Duration::from_millis(20),
@@ -64,7 +64,7 @@
 fn start(hosts_per_region: usize) -> TestEnv {
     let env = TestEnv::start(&options().with_hosts_per_region(hosts_per_region));
     for host in &env.hosts {
-        wait_for(KNOWN, "entry hosts of all regions", || {
+        wait_for(SETUP_LIMIT, "entry hosts of all regions", || {
             entry_hosts(host.address).len() >= env.hosts.len()
         });
     }
@@ -80,7 +80,7 @@
 impl InProgress {
     fn start(caller: &Caller) -> Self {
         let prompts = |kind: &str| -> Vec<String> {
-            let numbers = 0..PER_KIND;
+            let numbers = 0..REQUESTS_PER_KIND;
             numbers.map(|number| format!("{kind} {number}")).collect()
         };
         let chat = |prompt: String| {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn assert_whole(self, env: &TestEnv) {
+    fn assert_complete(self, env: &TestEnv) {
         for (prompt, chat) in self.chats {
             let answer = chat.join().expect("a caller must not panic");
             assert_eq!(answer.status, 200, "{:?}\n{}", answer.json(), env.logs());
@@ -118,24 +118,25 @@
     }
 }
 
-/// Requests that run at the engines of some regions.
+/// Returns the number of requests running at the engines of `regions`.
 fn running(env: &TestEnv, regions: &[&str]) -> usize {
     let engines = regions.iter().flat_map(|r| env.testbed.engines_in(r));
     engines.map(|e| e.standin.load().running as usize).sum()
 }
 
 fn wait_until_running(env: &TestEnv, regions: &[&str]) {
-    wait_for(KNOWN, "requests at the engines", || {
-        running(env, regions) >= 2 * PER_KIND
+    wait_for(SETUP_LIMIT, "requests at the engines", || {
+        running(env, regions) >= 2 * REQUESTS_PER_KIND
     });
 }
 
-/// Leaves the home region without engines, so that its requests are forwarded.
-fn drain_home(env: &TestEnv) {
+/// Sets all engines of the home region to leaving, so that its requests are
+/// forwarded.
+fn drain_home_region(env: &TestEnv) {
     for engine in env.testbed.engines_in("stred") {
         engine.standin.set_leaving(true);
     }
-    thread::sleep(LEAVING_KNOWN);
+    thread::sleep(LEAVING_ENDPOINT_LIMIT);
 }
 
 fn assert_exits_cleanly(env: &mut TestEnv, region: &str) {
@@ -145,9 +146,10 @@
     assert_eq!(code, Some(0), "{}", host.log());
 }
 
-/// Guards against plain answers, streams and ticketed calls that a shutdown cuts.
+/// Guards against non-streamed responses, streams and ticketed calls that are
+/// interrupted when their host shuts down.
 #[test]
-fn a_signal_cuts_no_request_in_progress() {
+fn a_signal_interrupts_no_request_in_progress() {
     let mut env = start(2);
     let caller = env.caller("stred");
     for service in &env.testbed.services {
@@ -163,14 +165,14 @@
         ordering.call("POST", &format!("/v1/services/{SERVICE}/orders"), body)
     });
     wait_until_running(&env, &["stred", "zapad", "sever"]);
-    wait_for(KNOWN, "the call at the service", || {
+    wait_for(SETUP_LIMIT, "the call at the service", || {
         let mut services = env.testbed.services.iter();
         services.any(|service| !service.standin.seen().is_empty())
     });
 
     env.host("stred").signal(Signal::SIGTERM);
 
-    in_progress.assert_whole(&env);
+    in_progress.assert_complete(&env);
     let order = order.join().expect("a caller must not panic");
     assert_eq!(order.expect("the host must answer").status, 200);
     let runs = env
@@ -182,26 +184,27 @@
     assert_exits_cleanly(&mut env, "stred");
 }
 
-/// Guards against forwarded requests that are cut when their origin leaves.
+/// Guards against forwarded requests that are interrupted when the host that
+/// forwarded them shuts down.
 #[test]
-fn a_signal_at_the_origin_cuts_no_forwarded_request() {
+fn a_signal_at_the_forwarding_host_interrupts_no_request() {
     let mut env = start(1);
-    drain_home(&env);
+    drain_home_region(&env);
     let in_progress = InProgress::start(&env.caller("stred"));
     wait_until_running(&env, &["zapad", "sever"]);
 
     env.host("stred").signal(Signal::SIGTERM);
 
-    in_progress.assert_whole(&env);
+    in_progress.assert_complete(&env);
     assert_exits_cleanly(&mut env, "stred");
 }
 
-/// Guards against forwarded requests that are cut, or sent anew, when the hosts
-/// where they landed leave.
+/// Guards against forwarded requests that are interrupted, or run a second time,
+/// when the hosts that received them shut down.
 #[test]
-fn a_signal_at_the_landing_hosts_cuts_no_forwarded_request() {
+fn a_signal_at_the_receiving_hosts_interrupts_no_forwarded_request() {
     let mut env = start(1);
-    drain_home(&env);
+    drain_home_region(&env);
     let in_progress = InProgress::start(&env.caller("stred"));
     wait_until_running(&env, &["zapad", "sever"]);
 
@@ -209,18 +212,22 @@
         env.host(region).signal(Signal::SIGTERM);
     }
 
-    in_progress.assert_whole(&env);
+    in_progress.assert_complete(&env);
     let engines = env.testbed.engines.iter();
     let runs = engines.flat_map(|engine| engine.standin.seen());
-    assert_eq!(runs.filter(|seen| seen.has_run).count(), 2 * PER_KIND);
+    assert_eq!(
+        runs.filter(|seen| seen.has_run).count(),
+        2 * REQUESTS_PER_KIND
+    );
     for region in ["zapad", "sever"] {
         assert_exits_cleanly(&mut env, region);
     }
 }
 
-/// Guards against callers and hosts that go on using a leaving host.
+/// Guards against callers and hosts that continue to use a leaving host, because
+/// it accepts new requests or stays on the list of entry hosts.
 #[test]
-fn a_leaving_host_sends_callers_elsewhere_and_is_used_no_more() {
+fn a_leaving_host_refuses_new_requests_and_is_no_longer_listed() {
     let env = start(1);
     let in_progress = InProgress::start(&env.caller("zapad"));
     wait_until_running(&env, &["stred", "zapad", "sever"]);
@@ -228,7 +235,9 @@
     env.host("zapad").signal(Signal::SIGTERM);
 
     let signalled = Instant::now();
-    wait_for(AT_ONCE, "a leaving host", || !env.host("zapad").is_ready());
+    wait_for(IMMEDIATE_LIMIT, "a leaving host", || {
+        !env.host("zapad").is_ready()
+    });
     let refused = env.caller("zapad").chat("new work", 4);
     let refused = refused.expect("the host must answer");
     assert_eq!(refused.status, 503);
@@ -236,27 +245,27 @@
     assert_eq!(refused.json()["error"]["code"], "shutting_down");
     assert_eq!(refused.headers.get("connection"), Some("close"));
     for region in ["stred", "sever"] {
-        let left = NOT_LISTED.saturating_sub(signalled.elapsed());
-        wait_for(left, "the leaving host off the lists", || {
+        let remaining = LISTING_LIMIT.saturating_sub(signalled.elapsed());
+        wait_for(remaining, "the leaving host off the lists", || {
             !entry_hosts(env.host(region).address).contains(&"zapad-1".to_string())
         });
     }
-    in_progress.assert_whole(&env);
+    in_progress.assert_complete(&env);
 }
 
-/// Guards against forwards to a host that is leaving.
+/// Guards against requests that are forwarded to a leaving host.
 #[test]
 fn other_hosts_stop_forwarding_to_a_leaving_host() {
     let env = start(2);
-    // Only zapad can serve, so that everything else is forwarded there.
+    // Only zapad has usable engines, so all other regions forward to it.
     for engine in env.testbed.engines_in("sever") {
         engine.standin.set_leaving(true);
     }
-    drain_home(&env);
+    drain_home_region(&env);
     let in_progress = InProgress::start(&env.caller("zapad"));
     wait_until_running(&env, &["zapad"]);
     env.host("zapad").signal(Signal::SIGTERM);
-    thread::sleep(NOT_FORWARDED);
+    thread::sleep(FORWARDING_LIMIT);
     for seat in env.testbed.seats_in("zapad") {
         seat.peer_wire.watch_for("forwarded-marker");
     }
@@ -274,40 +283,45 @@
         .collect();
     assert_eq!(forwarded[0], 0, "the leaving host got {forwarded:?}");
     assert!(forwarded[1] > 0, "nothing was forwarded at all");
-    in_progress.assert_whole(&env);
+    in_progress.assert_complete(&env);
 }
 
 fn long_stream(env: &TestEnv) -> JoinHandle<StreamResponse> {
     let caller = env.caller("stred");
-    // Eight seconds, within the deadline of ten.
+    // Takes eight seconds, within the deadline of ten.
     let call = move || caller.stream("long", 400).unwrap_or_default();
     let stream = thread::spawn(call);
-    wait_for(KNOWN, "a stream at an engine", || {
+    wait_for(SETUP_LIMIT, "a stream at an engine", || {
         running(env, &["stred", "zapad", "sever"]) > 0
     });
     stream
 }
 
-/// Guards against an operator who cannot end a host that drains for too long.
+/// Guards against a draining host that an operator cannot stop before its requests
+/// end.
 #[test]
-fn a_second_signal_ends_the_host_at_once() {
+fn a_second_signal_stops_the_host_immediately() {
     let mut env = start(1);
     let stream = long_stream(&env);
     env.host("stred").signal(Signal::SIGTERM);
-    thread::sleep(AT_ONCE);
-    assert!(env.host_mut("stred").wait(AT_ONCE).is_none());
+    thread::sleep(IMMEDIATE_LIMIT);
+    assert!(env.host_mut("stred").wait(IMMEDIATE_LIMIT).is_none());
 
     env.host("stred").signal(Signal::SIGTERM);
 
-    let status = env.host_mut("stred").wait(AT_ONCE).expect("it must end");
+    let status = env
+        .host_mut("stred")
+        .wait(IMMEDIATE_LIMIT)
+        .expect("it must end");
     assert!(status.code().is_some_and(|code| code != 0), "{status}");
     let stream = stream.join().expect("a caller must not panic");
     assert!(!stream.has_done && !stream.has_proper_end);
 }
 
-/// Guards against a host that drains longer than its settings allow.
+/// Guards against a host that drains longer than `drain_limit`, because a request
+/// takes longer.
 #[test]
-fn the_drain_limit_ends_the_host() {
+fn the_drain_limit_stops_the_host() {
     let limit = Duration::from_secs(2);
     let options = options();
     let mut env = TestEnv::prepare(&options);
@@ -325,7 +339,7 @@
     env.testbed.accept(&intents).expect("valid intents");
     env.hosts[0].start();
     env.hosts[0].wait_ready();
-    wait_for(KNOWN, "a served request", || {
+    wait_for(SETUP_LIMIT, "a served request", || {
         let answer = Caller::new(env.hosts[0].address).with_key(CALLER_KEY);
         answer
             .chat("warm", 1)
@@ -336,7 +350,7 @@
     let signalled = Instant::now();
     env.host("stred").signal(Signal::SIGTERM);
 
-    let status = env.host_mut("stred").wait(limit + AT_ONCE);
+    let status = env.host_mut("stred").wait(limit + IMMEDIATE_LIMIT);
     let status = status.expect("it must end");
     assert!(signalled.elapsed() >= limit, "it did not drain");
     assert!(status.code().is_some_and(|code| code != 0), "{status}");
--- a/tests/testenv/mod.rs
+++ b/tests/testenv/mod.rs
@@ -511,7 +511,7 @@
     value["revision"].as_u64().unwrap_or_default()
 }
 
-/// Names of the entry hosts that a host returns to its callers.
+/// Names of the entry hosts of all regions that a host returns to a caller.
 pub fn entry_hosts(address: SocketAddr) -> Vec<String> {
     let answer = Caller::new(address).with_key(CALLER_KEY).get("/v1/entry");
     let value = answer.map(|answer| answer.json()).unwrap_or_default();
@@ -520,9 +520,9 @@
     names.map(str::to_string).collect()
 }
 
-/// Retries a call that is refused with 503, for at most [`REFUSAL_RETRY_TIMEOUT`], since
-/// a host sends only a part of its requests to another region at once; returns
-/// how long the last call took.
+/// Retries a call that is refused with 503, for at most
+/// [`REFUSAL_RETRY_TIMEOUT`], because a host limits how many of its requests it
+/// forwards to another region at once; returns the duration of the last call.
 pub fn retry_while_refused<F, S, A>(call: F, status: S) -> (Result<A, MessageError>, Duration)
 where
     F: Fn() -> Result<A, MessageError>,
