--- a/src/sink.rs
+++ b/src/sink.rs
@@ -111,7 +111,7 @@
     /// Returns the captured response, if any.
     pub fn into_captured(self) -> Option<CapturedResponse> {
         match self.output {
-            Output::Capture(answer) => answer,
+            Output::Capture(response) => response,
             Output::Caller(_) | Output::Host(_) => None,
         }
     }
@@ -139,8 +139,8 @@
                 server::respond(connection, status, full_headers, body, deadline())
             }
             Output::Host(host) => host.write_response(status, &headers, body),
-            Output::Capture(answer) => {
-                *answer = Some(CapturedResponse {
+            Output::Capture(response) => {
+                *response = Some(CapturedResponse {
                     status,
                     headers,
                     body: body.to_vec(),
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -52,16 +52,16 @@
 }
 
 fn post(env: &TestEnv, body: &[u8]) -> CallerResponse {
-    let answer = env
+    let response = env
         .caller("stred")
         .call("POST", "/v1/chat/completions", body.to_vec());
-    answer.expect("the host must answer")
+    response.expect("the host must answer")
 }
 
 fn assert_serves(env: &TestEnv) {
-    let answer = env.caller("stred").chat("after bad input", 8);
-    let answer = answer.expect("the host must answer");
-    assert_eq!(answer.text(), expected_text("after bad input", 8));
+    let response = env.caller("stred").chat("after bad input", 8);
+    let response = response.expect("the host must answer");
+    assert_eq!(response.text(), expected_text("after bad input", 8));
 }
 
 fn random_bytes(rng: &mut Pcg64Mcg, max_length: usize) -> Vec<u8> {
@@ -79,9 +79,9 @@
         .expect("a timeout must be set");
     // The host may close the connection before it has read all bytes.
     let _ = stream.write_all(bytes);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 /// Guards against invalid requests that are sent to an engine, and against errors
@@ -105,11 +105,11 @@
     ];
 
     for (body, named) in cases {
-        let answer = post(&env, body);
+        let response = post(&env, body);
 
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
-        assert_eq!(answer.status, 400, "{text}");
-        assert_eq!(answer.run_state(), "not_run");
+        let text = String::from_utf8_lossy(&response.body).into_owned();
+        assert_eq!(response.status, 400, "{text}");
+        assert_eq!(response.run_state(), "not_run");
         assert!(text.contains(named), "{text} does not name {named}");
     }
     assert_serves(&env);
@@ -130,11 +130,11 @@
     let unknown = String::from_utf8_lossy(&chat_body("x", 1, false)).replace(MODEL, "gpt-0");
 
     let model = post(&env, unknown.as_bytes());
-    let service = caller.get("/v1/services/bakery/stock").expect("an answer");
-    let path = caller.get("/v2/anything").expect("an answer");
+    let service = caller.get("/v1/services/bakery/stock").expect("a response");
+    let path = caller.get("/v2/anything").expect("a response");
     let method = caller
         .call("PUT", "/v1/models", Vec::new())
-        .expect("an answer");
+        .expect("a response");
 
     assert_eq!(
         [model.status, service.status, path.status, method.status],
@@ -143,7 +143,7 @@
     assert!(
         [model, service, path, method]
             .iter()
-            .all(|answer| answer.run_state() == "not_run")
+            .all(|response| response.run_state() == "not_run")
     );
 }
 
@@ -204,14 +204,17 @@
     ];
 
     for field in fields {
-        let answer = send_raw(
+        let response = send_raw(
             address,
             format!("{start}{field}").as_bytes(),
             RESPONSE_TIMEOUT,
         );
 
-        assert!(answer.starts_with("HTTP/1.1 400"), "{field}: {answer}");
-        assert!(answer.contains("connection: close"), "{field}: {answer}");
+        assert!(response.starts_with("HTTP/1.1 400"), "{field}: {response}");
+        assert!(
+            response.contains("connection: close"),
+            "{field}: {response}"
+        );
     }
     assert_serves(&env);
 }
@@ -230,11 +233,11 @@
         .write_all(b"GET /v1/models HTTP/1.1\r\nx-slow: ")
         .expect("the host must read");
 
-    let mut answer = Vec::new();
-    let read = stream.read_to_end(&mut answer);
+    let mut response = Vec::new();
+    let read = stream.read_to_end(&mut response);
 
     assert!(read.is_ok(), "the connection stayed open");
-    assert!(answer.starts_with(b"HTTP/1.1 408"));
+    assert!(response.starts_with(b"HTTP/1.1 408"));
     assert!(started.elapsed() >= HEAD_TIMEOUT - Duration::from_millis(100));
     assert_serves(&env);
 }
@@ -249,11 +252,11 @@
     for _ in 0..60 {
         let mut bytes = random_bytes(&mut rng, 400);
         bytes.extend_from_slice(b"\r\n\r\n");
-        let answer = send_raw(address, &bytes, RESPONSE_TIMEOUT);
+        let response = send_raw(address, &bytes, RESPONSE_TIMEOUT);
 
         assert!(
-            answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
-            "{answer}"
+            response.is_empty() || response.starts_with("HTTP/1.1 4"),
+            "{response}"
         );
     }
     assert_serves(&env);
@@ -277,7 +280,7 @@
 
     assert_serves(&env);
     let listed = || {
-        let entry = env.caller("stred").get("/v1/entry").expect("an answer");
+        let entry = env.caller("stred").get("/v1/entry").expect("a response");
         entry.json()["hosts"].as_array().map_or(0, Vec::len)
     };
     wait_for(RESPONSE_TIMEOUT, "the hosts are listed", || listed() > 0);
@@ -292,9 +295,9 @@
     let wrong = "sk-this-key-is-wrong-4711";
     let caller = Caller::new(env.host("stred").address).with_key(wrong);
 
-    let answer = caller.get("/v1/models").expect("the host must answer");
+    let response = caller.get("/v1/models").expect("the host must answer");
 
-    assert_eq!(answer.status, 401);
+    assert_eq!(response.status, 401);
     assert!(!env.logs().contains(wrong));
     assert!(!env.logs().contains(CALLER_KEY));
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -85,8 +85,9 @@
         };
         let chat = |prompt: String| {
             let (caller, sent) = (caller.clone(), prompt.clone());
-            let call =
-                move || retry_while_refused(|| caller.chat(&sent, TOKENS), |answer| answer.status);
+            let call = move || {
+                retry_while_refused(|| caller.chat(&sent, TOKENS), |response| response.status)
+            };
             let call = move || call().0.expect("the host must answer");
             (prompt, thread::spawn(call))
         };
@@ -106,9 +107,15 @@
 
     fn assert_complete(self, env: &TestEnv) {
         for (prompt, chat) in self.chats {
-            let answer = chat.join().expect("a caller must not panic");
-            assert_eq!(answer.status, 200, "{:?}\n{}", answer.json(), env.logs());
-            assert_eq!(answer.text(), expected_text(&prompt, TOKENS as usize));
+            let response = chat.join().expect("a caller must not panic");
+            assert_eq!(
+                response.status,
+                200,
+                "{:?}\n{}",
+                response.json(),
+                env.logs()
+            );
+            assert_eq!(response.text(), expected_text(&prompt, TOKENS as usize));
         }
         for (prompt, stream) in self.streams {
             let stream = stream.join().expect("a caller must not panic");
@@ -272,8 +279,8 @@
 
     for number in 0..20 {
         let prompt = format!("{number} forwarded-marker");
-        let answer = env.caller("stred").chat(&prompt, 1);
-        answer.expect("the host must answer");
+        let response = env.caller("stred").chat(&prompt, 1);
+        response.expect("the host must answer");
     }
 
     let forwarded: Vec<u64> = env
@@ -340,10 +347,10 @@
     env.hosts[0].start();
     env.hosts[0].wait_ready();
     wait_for(SETUP_LIMIT, "a served request", || {
-        let answer = Caller::new(env.hosts[0].address).with_key(CALLER_KEY);
-        answer
+        let response = Caller::new(env.hosts[0].address).with_key(CALLER_KEY);
+        response
             .chat("warm", 1)
-            .is_ok_and(|answer| answer.status == 200)
+            .is_ok_and(|response| response.status == 200)
     });
     let _stream = long_stream(&env);
 
--- a/tests/partition.rs
+++ b/tests/partition.rs
@@ -74,10 +74,16 @@
 }
 
 fn assert_serves(env: &TestEnv, address: SocketAddr, prompt: &str) {
-    let answer = Caller::new(address).with_key(CALLER_KEY).chat(prompt, 8);
-    let answer = answer.expect("the host must answer");
-    assert_eq!(answer.status, 200, "{:?}\n{}", answer.json(), env.logs());
-    assert_eq!(answer.text(), expected_text(prompt, 8));
+    let response = Caller::new(address).with_key(CALLER_KEY).chat(prompt, 8);
+    let response = response.expect("the host must answer");
+    assert_eq!(
+        response.status,
+        200,
+        "{:?}\n{}",
+        response.json(),
+        env.logs()
+    );
+    assert_eq!(response.text(), expected_text(prompt, 8));
 }
 
 /// Checks that all hosts serve throughout a partition.
@@ -174,13 +180,13 @@
 
     let until = Instant::now() + Duration::from_secs(2);
     while Instant::now() < until {
-        let answer = Caller::new(address).with_key(CALLER_KEY).chat("early", 8);
-        let answer = answer.expect("the host must answer");
+        let response = Caller::new(address).with_key(CALLER_KEY).chat("early", 8);
+        let response = response.expect("the host must answer");
 
         assert!(!env.hosts[0].is_ready());
-        assert_eq!(answer.status, 503);
-        assert_eq!(answer.run_state(), "not_run");
-        assert!(answer.headers.get("retry-after").is_some());
+        assert_eq!(response.status, 503);
+        assert_eq!(response.run_state(), "not_run");
+        assert!(response.headers.get("retry-after").is_some());
         thread::sleep(Duration::from_millis(100));
     }
     env.testbed.platform.set_down(false);
@@ -330,7 +336,7 @@
             thread::spawn(move || {
                 retry_while_refused(
                     || caller.chat(&prompt(number), TOKENS),
-                    |answer| answer.status,
+                    |response| response.status,
                 )
             })
         })
@@ -359,17 +365,17 @@
         assert!(took < RESPONSE_LIMIT, "a stream took {took:?}");
     }
     for (number, chat) in chats.into_iter().enumerate() {
-        let (answer, took) = chat.join().expect("a caller must not panic");
-        let answer = answer.expect("the host must answer");
-        assert!(took < RESPONSE_LIMIT, "an answer took {took:?}");
-        if answer.status == 200 {
+        let (response, took) = chat.join().expect("a caller must not panic");
+        let response = response.expect("the host must answer");
+        assert!(took < RESPONSE_LIMIT, "a response took {took:?}");
+        if response.status == 200 {
             assert_eq!(
-                answer.text(),
+                response.text(),
                 expected_text(&prompt(STREAMS + number), TOKENS as usize)
             );
             complete.1 += 1;
         } else {
-            assert!(["unknown", "not_run"].contains(&answer.run_state().as_str()));
+            assert!(["unknown", "not_run"].contains(&response.run_state().as_str()));
         }
     }
     complete
--- a/tests/testenv/mod.rs
+++ b/tests/testenv/mod.rs
@@ -122,8 +122,8 @@
     }
 
     pub fn is_ready(&self) -> bool {
-        let answer = Caller::new(self.address).get("/readyz");
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = Caller::new(self.address).get("/readyz");
+        response.is_ok_and(|response| response.status == 200)
     }
 
     pub fn wait_ready(&self) {
@@ -372,14 +372,14 @@
         body: Vec<u8>,
     ) -> Result<CallerResponse, MessageError> {
         let deadline = Instant::now() + self.timeout;
-        let mut answer = self.send(method, path, body, deadline)?;
+        let mut response = self.send(method, path, body, deadline)?;
         let limit = 64 * 1024 * 1024;
-        let body = answer
+        let body = response
             .body
-            .read_to_end(&mut answer.connection, limit, deadline)?;
+            .read_to_end(&mut response.connection, limit, deadline)?;
         Ok(CallerResponse {
-            status: answer.head.status,
-            headers: answer.head.headers,
+            status: response.head.status,
+            headers: response.head.headers,
             body,
         })
     }
@@ -409,16 +409,16 @@
         let started = Instant::now();
         let deadline = started + self.timeout;
         let body = chat_body(prompt, max_tokens, true);
-        let mut answer = self.send("POST", "/v1/chat/completions", body, deadline)?;
+        let mut response = self.send("POST", "/v1/chat/completions", body, deadline)?;
         let mut read = StreamResponse {
-            status: answer.head.status,
+            status: response.head.status,
             ..StreamResponse::default()
         };
         let mut bytes = Vec::new();
         loop {
-            let count = answer
+            let count = response
                 .body
-                .read_piece(&mut answer.connection, &mut bytes, deadline);
+                .read_piece(&mut response.connection, &mut bytes, deadline);
             let is_end = !matches!(count, Ok(count) if count > 0);
             while let Some(end) = bytes.windows(2).position(|pair| pair == b"\n\n") {
                 let event: Vec<u8> = bytes.drain(..end + 2).collect();
@@ -429,7 +429,7 @@
                 }
             }
             if is_end {
-                read.has_proper_end = answer.body.is_complete();
+                read.has_proper_end = response.body.is_complete();
                 if read.status != 200 {
                     read.error = serde_json::from_slice(&bytes).ok();
                 }
@@ -506,15 +506,15 @@
 
 /// Revision in force at a host; 0 while it is not ready.
 pub fn revision_at(address: SocketAddr) -> u64 {
-    let answer = Caller::new(address).get("/readyz");
-    let value = answer.map(|answer| answer.json()).unwrap_or_default();
+    let response = Caller::new(address).get("/readyz");
+    let value = response.map(|response| response.json()).unwrap_or_default();
     value["revision"].as_u64().unwrap_or_default()
 }
 
 /// Names of the entry hosts of all regions that a host returns to a caller.
 pub fn entry_hosts(address: SocketAddr) -> Vec<String> {
-    let answer = Caller::new(address).with_key(CALLER_KEY).get("/v1/entry");
-    let value = answer.map(|answer| answer.json()).unwrap_or_default();
+    let response = Caller::new(address).with_key(CALLER_KEY).get("/v1/entry");
+    let value = response.map(|response| response.json()).unwrap_or_default();
     let hosts = value["hosts"].as_array().cloned().unwrap_or_default();
     let names = hosts.iter().filter_map(|host| host["host"].as_str());
     names.map(str::to_string).collect()
@@ -531,10 +531,10 @@
     let first = Instant::now();
     loop {
         let started = Instant::now();
-        let answer = call();
-        let is_refused = matches!(&answer, Ok(answer) if status(answer) == 503);
+        let response = call();
+        let is_refused = matches!(&response, Ok(response) if status(response) == 503);
         if !is_refused || first.elapsed() > REFUSAL_RETRY_TIMEOUT {
-            return (answer, started.elapsed());
+            return (response, started.elapsed());
         }
         thread::sleep(REFUSAL_RETRY_DELAY);
     }
