--- a/src/sink.rs
+++ b/src/sink.rs
@@ -35,7 +35,7 @@
 /// How far the response has been written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    Nothing,
+    NotStarted,
     Streaming,
     Ended,
     Failed,
@@ -89,7 +89,7 @@
             output,
             request,
             is_closing: false,
-            progress: Progress::Nothing,
+            progress: Progress::NotStarted,
         }
     }
 
@@ -191,7 +191,7 @@
     pub fn write_error(&mut self, answer: &ErrorAnswer) {
         let body = answer.to_json();
         let result = match self.progress {
-            Progress::Nothing => {
+            Progress::NotStarted => {
                 let mut headers = Headers::new().with_field("content-type", "application/json");
                 if let Some(seconds) = answer.retry_after_s() {
                     headers.push("retry-after", &seconds.to_string());
