--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -263,7 +263,8 @@
     assert!(!env.host("stred").log().contains("panicked"));
 }
 
-/// Guards against a host that accepts datagrams not sealed with the cluster key.
+/// Guards against a host that accepts datagrams not authenticated with the cluster
+/// key.
 #[test]
 fn corrupt_datagrams_change_nothing() {
     let env = start();
