--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -2,15 +2,14 @@
 //!
 //! A datagram is a version byte, a `postcard` body and a 16-byte truncated
 //! HMAC-SHA256 over both under the cluster key. The tag is checked before the
-//! body is decoded, so only bytes written by a holder of the key are
-//! decoded.
+//! body is decoded, so only bytes written by a holder of the key are decoded.
 //!
-//! A sender numbers the datagrams of one instance (one process lifetime)
-//! from 1 and adds a timestamp of its clock to each. Incarnation numbers are random, so
-//! the timestamps order the instances of one host. A receiver keeps a window of
+//! A sender numbers the datagrams of one instance (one process lifetime) from 1 and
+//! adds a timestamp of its clock to each. Incarnation numbers are random, so the
+//! timestamps order the instances of one host. A receiver keeps a window of
 //! sequence numbers for each host, twice as long as the largest accepted age of a
-//! timestamp. A replayed datagram is therefore either in the window or too old,
-//! and is refused in both cases.
+//! timestamp. A replayed datagram is therefore either in the window or too old, and
+//! is refused in both cases.
 
 use std::{
     collections::HashMap,
