--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,8 +1,8 @@
 //! One authenticated TCP connection between two hosts.
 //!
 //! In the handshake, both sides send a random nonce and prove that they hold the
-//! cluster key. The session key is derived from both nonces, hosts and
-//! incarnation numbers. Each frame carries a tag over its direction, its number in that
+//! cluster key. The session key is derived from both nonces, hosts and incarnation
+//! numbers. Each frame carries a tag over its direction, its number in that
 //! direction and its content, so that frames cannot be forged, replayed, reordered
 //! or moved between connections.
 //!
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -383,9 +383,7 @@
                     self.is_cancelled = true;
                     return Err(LinkError::Closed);
                 }
-                _ => {
-                    return Err(LinkError::Unexpected("expected a body frame"));
-                }
+                _ => return Err(LinkError::Unexpected("expected a body frame")),
             }
             let bytes = message.payload.len() as u64;
             if bytes == 0 || bytes > self.remaining_body_bytes {
