--- a/src/decision/endpoint_choice.rs
+++ b/src/decision/endpoint_choice.rs
@@ -41,11 +41,11 @@
     pub target: &'a Target,
     /// Version that the endpoint must serve; `None` for services.
     pub version: Option<&'a str>,
-    /// Size of the work.
+    /// Size of the request.
     pub work: Work,
     /// Hashes of the prompt's leading blocks.
     pub prefix_hashes: &'a [u64],
-    /// Whether the endpoint must continue a partial answer.
+    /// Whether the endpoint must be able to continue a partial response.
     pub needs_continuation: bool,
     /// Endpoints of its earlier attempts.
     pub tried: &'a [EndpointId],
@@ -146,7 +146,7 @@
     let cached_blocks = state.prefixes.known_blocks(query.prefix_hashes);
     let cached = Tokens(policy.prefix_block.0.saturating_mul(cached_blocks as u64));
     let work = Work {
-        prompt: query.work.prompt - cached,
+        prompt_tokens: query.work.prompt_tokens - cached,
         ..query.work
     };
     Candidate {
--- a/src/decision/region_choice.rs
+++ b/src/decision/region_choice.rs
@@ -52,7 +52,7 @@
     /// Size of the request; a remote region is assumed to have nothing of it cached.
     pub work: Work,
     /// Length of the request body.
-    pub body: Bytes,
+    pub body_bytes: Bytes,
     /// Regions that may see the request.
     pub allowed: &'a AllowedRegions,
     /// Time left until its deadline.
@@ -62,7 +62,7 @@
 /// Estimated performance and load of the local region for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalEstimate {
-    /// Predicted time until the complete answer, in milliseconds, or `None` without
+    /// Predicted time until the complete response, in milliseconds, or `None` without
     /// an endpoint.
     pub finish_ms: Option<f64>,
     /// Estimated requests in progress per slot.
@@ -80,7 +80,7 @@
 pub struct RemoteRegion {
     /// The region.
     pub region: RegionId,
-    /// Predicted time until the complete answer has arrived here, in milliseconds.
+    /// Predicted time until the complete response has arrived here, in milliseconds.
     pub finish_ms: f64,
     /// Requests in progress per slot.
     pub load_per_slot: f64,
@@ -156,7 +156,7 @@
                 context.now_ms,
                 query.target,
                 request,
-                query.body,
+                query.body_bytes,
                 context.host_count(),
                 context.policy,
             );
@@ -314,7 +314,7 @@
 fn network_ms(context: &Context<'_>, link: &LinkState, query: &RegionQuery<'_>) -> f64 {
     let latency_ms = link.link.latency_ms.0 as f64 * 2.0;
     let hosts = context.host_count();
-    latency_ms + link.send_ms(context.now_ms, query.body, hosts, context.policy)
+    latency_ms + link.send_ms(context.now_ms, query.body_bytes, hosts, context.policy)
 }
 
 /// Returns the predicted time at a remote region, in milliseconds, assuming that
--- a/src/decision/view.rs
+++ b/src/decision/view.rs
@@ -54,7 +54,7 @@
     pub version: CompactString,
     /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it can continue a partial answer without repeating it.
+    /// Whether it can continue a partial response without repeating it.
     pub can_continue: bool,
     /// Whether the list shows it as leaving.
     pub is_leaving: bool,
@@ -78,9 +78,9 @@
 pub struct Heartbeat {
     /// The host.
     pub host: HostId,
-    /// Its current run.
+    /// Its current instance.
     pub incarnation: Incarnation,
-    /// Sequence number of the heartbeat within this run.
+    /// Sequence number of the heartbeat within this instance.
     pub sequence: u64,
     /// Its region.
     pub region: RegionId,
@@ -98,9 +98,9 @@
     pub revision: Revision,
     /// Requests in progress.
     pub open_requests: u32,
-    /// Host runs whose tickets it is responsible for, including its own run until
-    /// it has handed its tickets over.
-    pub ticket_runs: Vec<HostInstance>,
+    /// Host instances whose tickets it decides, including its own instance until it
+    /// has handed its tickets over.
+    pub ticket_owners: Vec<HostInstance>,
 }
 
 /// An endpoint's report of its load.
@@ -108,7 +108,7 @@
 pub struct EndpointReport {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its current run, if it reports one.
+    /// Its current instance, if it reports one.
     pub incarnation: Incarnation,
     /// When the load was measured.
     pub measured_ms: Millis,
@@ -159,7 +159,7 @@
     pub hosts: Vec<ForwardHost>,
 }
 
-/// Past runs remembered per host, so that their late heartbeats are ignored.
+/// Past incarnations remembered per host, so that their late heartbeats are ignored.
 const PAST_INCARNATIONS: usize = 4;
 
 /// The known state of a host.
@@ -169,10 +169,10 @@
     pub heartbeat: Heartbeat,
     /// When the newest heartbeat arrived here.
     pub received_ms: Millis,
-    /// When the first heartbeat of its current run arrived here.
-    pub run_since_ms: Millis,
-    /// Whether a heartbeat of its current run, or the platform's list, has marked it
-    /// as leaving.
+    /// When the first heartbeat of its current instance arrived here.
+    pub instance_since_ms: Millis,
+    /// Whether a heartbeat of its current instance, or the platform's list, has
+    /// marked it as leaving.
     pub is_leaving: bool,
     /// Whether callers should prefer other hosts.
     pub is_overloaded: bool,
@@ -185,7 +185,7 @@
             is_leaving: heartbeat.is_leaving,
             heartbeat,
             received_ms: now_ms,
-            run_since_ms: now_ms,
+            instance_since_ms: now_ms,
             is_overloaded: false,
             past_incarnations: Vec::new(),
         }
@@ -202,18 +202,18 @@
     }
 
     fn apply(&mut self, now_ms: Millis, mut heartbeat: Heartbeat) {
-        let is_same_run = self.heartbeat.incarnation == heartbeat.incarnation;
-        if is_same_run && heartbeat.sequence <= self.heartbeat.sequence
+        let is_same_instance = self.heartbeat.incarnation == heartbeat.incarnation;
+        if is_same_instance && heartbeat.sequence <= self.heartbeat.sequence
             || self.past_incarnations.contains(&heartbeat.incarnation)
         {
             return;
         }
-        if is_same_run {
+        if is_same_instance {
             heartbeat.revision = heartbeat.revision.max(self.heartbeat.revision);
             self.is_leaving |= heartbeat.is_leaving;
         } else {
             self.is_leaving = heartbeat.is_leaving;
-            self.run_since_ms = now_ms;
+            self.instance_since_ms = now_ms;
             self.past_incarnations.push(self.heartbeat.incarnation);
         }
         if self.past_incarnations.len() > PAST_INCARNATIONS {
@@ -427,18 +427,19 @@
         })
     }
 
-    /// Returns the run that is responsible for the tickets of `run`: `run` itself,
-    /// or the run of another host that has announced that it took them over.
-    pub fn ticket_holder(&self, run: &HostInstance) -> HostInstance {
+    /// Returns the host instance that decides the tickets issued by `owner`: `owner`
+    /// itself, or the instance of another host that has announced that it took them
+    /// over.
+    pub fn ticket_holder(&self, owner: &HostInstance) -> HostInstance {
         let is_successor = |state: &&HostState| {
-            state.heartbeat.host != run.host && state.heartbeat.ticket_runs.contains(run)
+            state.heartbeat.host != owner.host && state.heartbeat.ticket_owners.contains(owner)
         };
         match self.hosts.values().find(is_successor) {
             Some(state) => HostInstance {
                 host: state.heartbeat.host.clone(),
                 incarnation: state.heartbeat.incarnation,
             },
-            None => run.clone(),
+            None => owner.clone(),
         }
     }
 
