--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -185,7 +185,7 @@
         Ok(Prepared::Exchange(exchange, promise)) => {
             let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
             let caller = exchange.arrival.caller.clone();
-            let (ending, delivered) = relay::run(&context.relay, *exchange, &mut sink);
+            let (ending, delivered) = relay::serve(&context.relay, *exchange, &mut sink);
             let first_token = delivered.first_token_at;
             context.recorder.record(Record {
                 caller,
@@ -193,8 +193,8 @@
                 ending,
                 first_token: first_token.map(|at| at.saturating_duration_since(started)),
                 whole: started.elapsed(),
-                output: delivered.output,
-                cached: delivered.cached,
+                output: delivered.output_tokens,
+                cached: delivered.cached_tokens,
             });
             sink.into_connection()
         }
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -46,9 +46,9 @@
     relay::{
         self,
         Exchange,
+        ExchangeOutcome, //
         Payload,
         RelayContext,
-        Settlement, //
     },
     sink::AnswerSink,
     ticket::call::CallDigest,
@@ -150,11 +150,11 @@
         return refuse(exchange, refusal, RunState::NotRun(unsent.give_up()));
     };
     let mut sink = AnswerSink::to_host(exchange, request);
-    let (settlement, _) = relay::carry(&context.relay, work, unsent, &mut sink);
-    match settlement {
-        Settlement::Answered(_) => Ok(()),
-        Settlement::CallerGone => Err(LinkError::Closed),
-        Settlement::GivenUp {
+    let (outcome, _) = relay::execute(&context.relay, work, unsent, &mut sink);
+    match outcome {
+        ExchangeOutcome::Completed(_) => Ok(()),
+        ExchangeOutcome::CallerDisconnected => Err(LinkError::Closed),
+        ExchangeOutcome::Failed {
             refusal,
             claim,
             has_delivered,
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an endpoint or a host and waits for its answer.
+//! Sends a request to an endpoint or a host and waits for its response.
 
 use std::{
     net::SocketAddr,
@@ -9,11 +9,11 @@
 };
 
 use super::{
-    Broken,
-    CALLER_POLL,
+    CALLER_POLL_INTERVAL,
     Destination,
     Payload,
     Relay,
+    RelayError,
     forward::{
         chat_call,
         forward_head, //
@@ -53,8 +53,8 @@
     }, //
 };
 
-/// Longest silence between two tokens of a stream.
-const STALL_LIMIT: Duration = Duration::from_secs(5);
+/// Longest time between two reads of a response body.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Relay<'_, '_, '_> {
     pub(super) fn attempt(&mut self, attempt: Attempt, destination: Destination) -> AttemptOutcome {
@@ -73,8 +73,8 @@
         };
         let reply = match self.wait_for_head(&mut upstream) {
             Ok(reply) => reply,
-            Err(Broken::Caller) => return self.caller_gone(),
-            Err(Broken::Upstream) => return self.interrupted(),
+            Err(RelayError::Caller) => return self.caller_disconnected(),
+            Err(RelayError::Upstream) => return self.interrupted(),
         };
         match reply {
             HostReply::Refused { refusal, run_state } => {
@@ -95,19 +95,19 @@
                 }
                 rejection(&head)
             }
-            HostReply::Answer(head) => self.pass_on(attempt, upstream, &head),
+            HostReply::Answer(head) => self.relay_response(attempt, upstream, &head),
         }
     }
 
     fn send_to_endpoint(&mut self, address: SocketAddr) -> Result<Upstream, AttemptOutcome> {
         let request = self.arrival.request;
         let connection = upstream::connect(address, self.deadline).map_err(|error| {
-            tracing::debug!(%request, %address, %error, "could not connect");
+            tracing::debug!(%request, %address, %error, "could not connect to the endpoint; nothing was sent");
             AttemptOutcome::NotSent
         })?;
         self.claim.mark_sent();
         Upstream::send(connection, &self.call(), self.deadline).map_err(|error| {
-            tracing::debug!(%request, %address, %error, "could not send");
+            tracing::debug!(%request, %address, %error, "could not send the request to the endpoint");
             self.interrupted()
         })
     }
@@ -120,33 +120,34 @@
     ) -> Result<Upstream, AttemptOutcome> {
         let request = self.arrival.request;
         let peers = &self.context.peers;
-        let ready = peers
+        let connection = peers
             .acquire(Some(host), address, self.deadline)
             .map_err(|error| {
-                tracing::debug!(%request, %host, %error, "could not reach the host");
+                tracing::debug!(%request, %host, %error, "could not connect to the host; nothing was sent");
                 AttemptOutcome::NotSent
             })?;
         let call = self.call();
         let is_stream = self.is_stream();
         let head = forward_head(self.context, &self.arrival, &call, allowed, is_stream);
         let frame = Frame::Forward(head);
-        // A claim that is already spent stays so, whatever this attempt does.
-        let (unsent, spent) = match self.claim.take() {
+        // A claim that an earlier attempt marked as sent stays so, whatever the
+        // outcome of this attempt.
+        let (unsent, earlier_claim) = match self.claim.take() {
             Claim::Unsent(unsent) => (unsent, None),
             other => (Unsent::new(), Some(other)),
         };
-        let (claim, result) = match ready.send(unsent, &frame, &call.body, self.deadline) {
+        let (claim, result) = match connection.send(unsent, &frame, &call.body, self.deadline) {
             Ok(exchange) => (Claim::Sent(Unsent::new().mark_sent()), Ok(exchange)),
             Err(SendError::NotSent { unsent, error }) => {
-                tracing::debug!(%request, %host, %error, "could not send");
+                tracing::debug!(%request, %host, %error, "could not send to the host; nothing was sent");
                 (Claim::Unsent(unsent), Err(AttemptOutcome::NotSent))
             }
             Err(SendError::PartlySent { sent, error }) => {
-                tracing::debug!(%request, %host, %error, "could not send all");
+                tracing::debug!(%request, %host, %error, "connection to the host failed after part of the request was sent");
                 (Claim::Sent(sent), Err(self.interrupted()))
             }
         };
-        self.claim = spent.unwrap_or(claim);
+        self.claim = earlier_claim.unwrap_or(claim);
         result.map(Upstream::from_exchange)
     }
 
@@ -163,34 +164,35 @@
         }
     }
 
-    /// Waits until the answer starts, while the caller is there.
-    fn wait_for_head(&mut self, upstream: &mut Upstream) -> Result<HostReply, Broken> {
+    /// Waits for the response head while the caller is connected.
+    fn wait_for_head(&mut self, upstream: &mut Upstream) -> Result<HostReply, RelayError> {
         loop {
-            let until = Instant::now() + CALLER_POLL;
+            let until = Instant::now() + CALLER_POLL_INTERVAL;
             match upstream.read_head(until) {
                 Ok(reply) => return Ok(reply),
-                Err(ReadError::TimedOut) => self.check_waiting(None)?,
-                Err(ReadError::Broken) => return Err(Broken::Upstream),
+                Err(ReadError::TimedOut) => self.check_wait(None)?,
+                Err(ReadError::Broken) => return Err(RelayError::Upstream),
             }
         }
     }
 
-    pub(super) fn check_waiting(&mut self, last_byte: Option<Instant>) -> Result<(), Broken> {
+    pub(super) fn check_wait(&mut self, last_byte: Option<Instant>) -> Result<(), RelayError> {
         if self.sink.is_gone() {
-            return Err(Broken::Caller);
+            return Err(RelayError::Caller);
         }
         let now = Instant::now();
-        let is_stalled = last_byte.is_some_and(|last| now >= last + STALL_LIMIT);
-        // A late whole answer is worth more to the caller than a part of it.
+        let is_stalled = last_byte.is_some_and(|last| now >= last + RESPONSE_STALL_TIMEOUT);
+        // A complete response after the deadline is worth more to the caller than
+        // a part of it.
         let is_late = now >= self.deadline && !self.stream.is_started;
         if is_late || is_stalled {
-            return Err(Broken::Upstream);
+            return Err(RelayError::Upstream);
         }
         Ok(())
     }
 
-    // Only an engine is known to refuse with these before it runs a request; a
-    // plain service may answer 503 after it has done part of the work.
+    // Only an inference engine is known to return these statuses before it runs
+    // a request; another service may return 503 after part of the work.
     fn is_rejection(&self, upstream: &Upstream, head: &AnswerHead) -> bool {
         matches!(self.arrival.target, Target::Model(_))
             && matches!(upstream, Upstream::Endpoint { .. })
--- a/src/relay/forward.rs
+++ b/src/relay/forward.rs
@@ -1,4 +1,4 @@
-//! Requests in the form in which they travel between hosts.
+//! Encodes requests as they are sent to other hosts.
 
 use super::{
     Exchange,
@@ -33,8 +33,8 @@
     }
 }
 
-/// Head and body of a request for another host.
-pub fn forward_of(
+/// Returns the head and the body of a request that is forwarded to another host.
+pub fn forward_request(
     context: &RelayContext,
     exchange: &Exchange,
     allowed: AllowedRegions,
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,14 +1,15 @@
-//! Carries one exchange between a caller and the endpoints chosen for it.
+//! Relays one request and its response between a caller and the endpoints
+//! chosen for it.
 //!
-//! The relay asks the decider what to do, does it, reports how it ended, and
-//! repeats until the caller has its final answer. An answer without its proper
-//! end is never passed on as complete.
+//! The relay executes the actions that the decider returns and reports the
+//! outcome of each attempt, until the caller has its final response. A response
+//! without its proper end is never presented as complete.
 
 mod attempt;
 mod forward;
-mod pass;
+mod response;
 
-pub use self::forward::forward_of;
+pub use self::forward::forward_request;
 
 use std::{
     net::SocketAddr,
@@ -61,49 +62,49 @@
     }, //
 };
 
-/// How often a waiting exchange checks that its caller is still there.
-const CALLER_POLL: Duration = Duration::from_millis(50);
-/// Time past the deadline in which the decider gives the final answer.
+/// How often a waiting exchange checks that its caller is still connected.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after the deadline in which the decider sends the final action.
 const DECISION_GRACE: Duration = Duration::from_secs(1);
-/// When to come back after the event ring was full.
+/// `Retry-After` of a request that was shed because the event ring was full.
 const SHED_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// What is sent to an endpoint.
+/// The request that is sent to an endpoint.
 #[derive(Debug, Clone)]
 pub enum Payload {
     /// A chat completion.
     Chat(Box<ChatRequest>),
-    /// A call of a plain service.
+    /// A call of a service that is not a model.
     Service(Call),
 }
 
-/// What the relay needs besides the request.
+/// Dependencies of the relay that all requests share.
 #[derive(Clone)]
 pub struct RelayContext {
-    /// Leads to the decisions.
+    /// Handle of the thread that makes the routing decisions.
     pub decider: DeciderHandle,
-    /// Starts exchanges with other hosts.
+    /// Opens connections to other hosts.
     pub peers: PeerClient,
     /// This host.
     pub host: HostId,
-    /// Its region.
+    /// The region of this host.
     pub region: RegionId,
 }
 
-/// One request on its way.
+/// One request to be relayed.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The request as the decisions see it.
+    /// What the routing decisions use of the request.
     pub arrival: Arrival,
-    /// What is sent.
+    /// The request as it is sent to an endpoint.
     pub payload: Payload,
 }
 
-/// Progress of a stream over all attempts.
+/// Progress of a streamed response over all attempts.
 #[derive(Debug, Default)]
 struct StreamProgress {
     is_started: bool,
-    answer_id: Option<CompactString>,
+    response_id: Option<CompactString>,
     text: String,
     tokens: Tokens,
     usage: openai::Usage,
@@ -111,77 +112,79 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub enum Settlement {
-    /// The whole answer was passed on.
-    Answered(Sent),
-    /// There is no whole answer, and the caller still has to be told.
-    GivenUp {
-        /// Why.
+pub enum ExchangeOutcome {
+    /// The complete response was sent to the caller.
+    Completed(Sent),
+    /// There is no complete response, and no error response was sent yet.
+    Failed {
+        /// Reason for the error response.
         refusal: Refusal,
         /// Whether the request may have run.
         claim: Claim,
-        /// Whether part of the answer was passed on.
+        /// Whether part of the response was sent to the caller.
         has_delivered: bool,
     },
-    /// Nobody waits for an answer any more.
-    CallerGone,
+    /// The caller disconnected before the response was complete.
+    CallerDisconnected,
 }
 
-/// What the caller has received.
+/// Measurements of the response that the caller received.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Delivered {
-    /// When the first token was passed on.
+pub struct DeliveredStats {
+    /// When the first token was sent to the caller.
     pub first_token_at: Option<Instant>,
-    /// Generated tokens.
-    pub output: Tokens,
-    /// Prompt tokens that the endpoint had cached.
-    pub cached: Tokens,
+    /// Number of generated tokens.
+    pub output_tokens: Tokens,
+    /// Number of prompt tokens that the endpoint had cached.
+    pub cached_tokens: Tokens,
 }
 
-/// Serves one request and gives the caller its final answer.
-pub fn run(
+/// Relays one request and sends the caller its final response, which may be an
+/// error response.
+pub fn serve(
     context: &RelayContext,
     exchange: Exchange,
     sink: &mut AnswerSink<'_, '_>,
-) -> (Ending, Delivered) {
+) -> (Ending, DeliveredStats) {
     let request = exchange.arrival.request;
-    let (settlement, delivered) = carry(context, exchange, Unsent::new(), sink);
-    let ending = match settlement {
-        Settlement::Answered(_) => Ending::Whole,
-        Settlement::CallerGone => Ending::CallerGone,
-        Settlement::GivenUp {
+    let (outcome, delivered) = execute(context, exchange, Unsent::new(), sink);
+    let ending = match outcome {
+        ExchangeOutcome::Completed(_) => Ending::Whole,
+        ExchangeOutcome::CallerDisconnected => Ending::CallerGone,
+        ExchangeOutcome::Failed {
             refusal,
             claim,
             has_delivered,
         } => {
             let state = claim.into_state(has_delivered);
-            let answer = ErrorAnswer::from_refusal(refusal, state);
-            log_given_up(request, &answer);
-            sink.give_up(&answer);
+            let response = ErrorAnswer::from_refusal(refusal, state);
+            log_failed_request(request, &response);
+            sink.give_up(&response);
             Ending::GivenUp(state.word())
         }
     };
     (ending, delivered)
 }
 
-/// Logs the final answer of a request without a result.
-pub fn log_given_up(request: RequestId, answer: &ErrorAnswer) {
+/// Logs the error response that ends a request.
+pub fn log_failed_request(request: RequestId, response: &ErrorAnswer) {
     tracing::info!(
         %request,
-        status = answer.status,
-        code = %answer.body.error.code,
-        run_state = %answer.body.error.run_state,
-        "request given up"
+        status = response.status,
+        code = %response.body.error.code,
+        run_state = %response.body.error.run_state,
+        "request failed; the caller receives an error response"
     );
 }
 
-/// Carries one request until it is settled; writes no error answer.
-pub fn carry(
+/// Relays one request until its outcome is known; sends no error
+/// response.
+pub fn execute(
     context: &RelayContext,
     exchange: Exchange,
     unsent: Unsent,
     sink: &mut AnswerSink<'_, '_>,
-) -> (Settlement, Delivered) {
+) -> (ExchangeOutcome, DeliveredStats) {
     let mut relay = Relay {
         context,
         deadline: clock::instant_of(exchange.arrival.deadline_ms),
@@ -190,18 +193,18 @@
         sink,
         claim: Claim::Unsent(unsent),
         stream: StreamProgress::default(),
-        delivered: Delivered::default(),
+        delivered: DeliveredStats::default(),
     };
-    let settlement = match context.decider.submit(exchange.arrival) {
-        Ok(actions) => relay.follow(&actions),
+    let outcome = match context.decider.submit(exchange.arrival) {
+        Ok(actions) => relay.execute_actions(&actions),
         Err(error) => {
-            tracing::warn!(request = %relay.arrival.request, %error, "request shed");
+            tracing::warn!(request = %relay.arrival.request, %error, "event ring is full; the request is refused");
             let refusal =
                 Refusal::new(RefusalReason::Overloaded).with_retry_after(SHED_RETRY_AFTER_MS);
-            relay.give_up(refusal)
+            relay.failed(refusal)
         }
     };
-    (settlement, relay.delivered)
+    (outcome, relay.delivered)
 }
 
 struct Relay<'a, 'b, 'c> {
@@ -212,18 +215,18 @@
     sink: &'a mut AnswerSink<'b, 'c>,
     claim: Claim,
     stream: StreamProgress,
-    delivered: Delivered,
+    delivered: DeliveredStats,
 }
 
-/// Why an attempt has no whole answer.
-enum Broken {
-    /// The upstream connection failed or its answer was not whole.
+/// Why an attempt has no complete response.
+enum RelayError {
+    /// The upstream connection failed, or its response was incomplete.
     Upstream,
-    /// The caller went away.
+    /// The caller disconnected.
     Caller,
 }
 
-/// Where an attempt goes.
+/// Where an attempt sends the request.
 enum Destination {
     Endpoint(SocketAddr),
     Host {
@@ -234,7 +237,7 @@
 }
 
 impl Relay<'_, '_, '_> {
-    fn follow(&mut self, actions: &Receiver<Action>) -> Settlement {
+    fn execute_actions(&mut self, actions: &Receiver<Action>) -> ExchangeOutcome {
         let mut last_attempt = Attempt::default();
         loop {
             let (attempt, destination) = match self.next_action(actions) {
@@ -255,20 +258,20 @@
                     };
                     (attempt, destination)
                 }
-                Some(Action::Refuse { refusal, .. }) => return self.give_up(refusal),
+                Some(Action::Refuse { refusal, .. }) => return self.failed(refusal),
                 Some(_) => continue,
                 None => {
-                    let outcome = self.caller_gone();
+                    let outcome = self.caller_disconnected();
                     self.report_end(last_attempt, outcome);
-                    return Settlement::CallerGone;
+                    return ExchangeOutcome::CallerDisconnected;
                 }
             };
             last_attempt = attempt;
             let outcome = self.attempt(attempt, destination);
-            let settled = self.settled_by(&outcome);
+            let final_outcome = self.final_outcome(&outcome);
             self.report_end(attempt, outcome);
-            if let Some(settlement) = settled {
-                return settlement;
+            if let Some(outcome) = final_outcome {
+                return outcome;
             }
         }
     }
@@ -278,18 +281,18 @@
         self.context.decider.ended(request, attempt, outcome);
     }
 
-    fn settled_by(&mut self, outcome: &AttemptOutcome) -> Option<Settlement> {
+    fn final_outcome(&mut self, outcome: &AttemptOutcome) -> Option<ExchangeOutcome> {
         match outcome {
             AttemptOutcome::Complete { .. } | AttemptOutcome::Failed { .. } => {
                 match self.claim.take() {
-                    Claim::Sent(sent) => Some(Settlement::Answered(sent)),
-                    _ => Some(Settlement::CallerGone),
+                    Claim::Sent(sent) => Some(ExchangeOutcome::Completed(sent)),
+                    _ => Some(ExchangeOutcome::CallerDisconnected),
                 }
             }
-            AttemptOutcome::CallerDisconnected { .. } => Some(Settlement::CallerGone),
+            AttemptOutcome::CallerDisconnected { .. } => Some(ExchangeOutcome::CallerDisconnected),
             AttemptOutcome::Truncated { .. } => {
                 let refusal = Refusal::new(RefusalReason::RetriesExhausted);
-                Some(self.give_up(refusal))
+                Some(self.failed(refusal))
             }
             AttemptOutcome::NotSent
             | AttemptOutcome::Rejected { .. }
@@ -297,10 +300,10 @@
         }
     }
 
-    /// Waits for the next action; `None` if the caller is gone.
+    /// Waits for the next action; `None` if the caller disconnected.
     fn next_action(&mut self, actions: &Receiver<Action>) -> Option<Action> {
         loop {
-            match actions.recv_timeout(CALLER_POLL) {
+            match actions.recv_timeout(CALLER_POLL_INTERVAL) {
                 Ok(action) => return Some(action),
                 Err(RecvTimeoutError::Timeout) if self.sink.is_gone() => return None,
                 Err(RecvTimeoutError::Timeout)
@@ -315,8 +318,8 @@
         }
     }
 
-    fn give_up(&mut self, refusal: Refusal) -> Settlement {
-        Settlement::GivenUp {
+    fn failed(&mut self, refusal: Refusal) -> ExchangeOutcome {
+        ExchangeOutcome::Failed {
             refusal,
             claim: self.claim.take(),
             has_delivered: self.stream.is_started,
@@ -340,7 +343,7 @@
         }
     }
 
-    fn caller_gone(&self) -> AttemptOutcome {
+    fn caller_disconnected(&self) -> AttemptOutcome {
         AttemptOutcome::CallerDisconnected {
             wasted_tokens: self.stream.tokens,
         }
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -43,8 +43,8 @@
     relay::{
         self,
         Exchange,
+        ExchangeOutcome, //
         RelayContext,
-        Settlement, //
     },
     sink::AnswerSink,
     ticket::{
@@ -290,9 +290,9 @@
     fn run_call(&self, exchange: Exchange, permit: Permit, unsent: Unsent) -> PlainAnswer {
         let request = exchange.arrival.request;
         let mut sink = AnswerSink::capture(request);
-        let (settlement, _) = relay::carry(&self.relay, exchange, unsent, &mut sink);
-        let (refusal, claim) = match settlement {
-            Settlement::Answered(sent) => {
+        let (outcome, _) = relay::execute(&self.relay, exchange, unsent, &mut sink);
+        let (refusal, claim) = match outcome {
+            ExchangeOutcome::Completed(sent) => {
                 let Some(response) = sink.into_captured() else {
                     return self.end_unknown(
                         request,
@@ -316,8 +316,8 @@
                 }
                 return plain;
             }
-            Settlement::GivenUp { refusal, claim, .. } => (refusal, claim),
-            Settlement::CallerGone => {
+            ExchangeOutcome::Failed { refusal, claim, .. } => (refusal, claim),
+            ExchangeOutcome::CallerDisconnected => {
                 let refusal = Refusal::new(RefusalReason::RetriesExhausted);
                 return self.end_unknown(request, permit, refusal);
             }
@@ -344,7 +344,7 @@
             _ => RunState::Unknown,
         };
         let response = ErrorAnswer::from_refusal(refusal, state);
-        relay::log_given_up(request, &response);
+        relay::log_failed_request(request, &response);
         PlainAnswer::from_error(&response)
     }
 
@@ -359,7 +359,7 @@
             );
         }
         let response = ErrorAnswer::from_refusal(refusal, RunState::Unknown);
-        relay::log_given_up(request, &response);
+        relay::log_failed_request(request, &response);
         PlainAnswer::from_error(&response)
     }
 
@@ -399,7 +399,8 @@
         let (frame, body, deadline) = match request {
             TicketRequest::Call(exchange, _) => {
                 let deadline = clock::instant_of(exchange.arrival.deadline_ms);
-                let (head, body) = relay::forward_of(&self.relay, &exchange, from.allowed.clone());
+                let (head, body) =
+                    relay::forward_request(&self.relay, &exchange, from.allowed.clone());
                 let ticket = text.into();
                 (Frame::TicketCall { ticket, head }, body, deadline)
             }
