--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! The caller interface: parses, authenticates and routes requests.
+//! HTTP interface for callers: parses, authenticates and routes requests.
 
 mod routes;
 
@@ -83,29 +83,29 @@
 const SERVICE_PREFIX: &str = "/v1/services/";
 const TICKET_PREFIX: &str = "/v1/tickets/";
 
-/// What every caller connection needs.
+/// Dependencies that all caller connections share.
 #[derive(Clone)]
 pub struct CallerContext {
-    /// What requests need on their way.
+    /// Dependencies of the relay.
     pub relay: RelayContext,
-    /// What ticketed calls need.
+    /// Dependencies of ticketed calls.
     pub tickets: TicketContext,
-    /// Counts finished requests.
+    /// Records finished requests for metrics and burn rates.
     pub recorder: RecorderHandle,
     /// Configuration in force.
     pub in_force: InForceCell,
-    /// What the platform has told.
+    /// State of the contact with the platform.
     pub contact: PlatformContact,
-    /// Set when this host takes no new work.
+    /// Set when this host accepts no new requests.
     pub is_leaving: Arc<AtomicBool>,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub open_requests: Arc<AtomicUsize>,
 }
 
-/// An error to be written as the final answer.
+/// An error response that ends a request before it is relayed.
 type Rejection = Box<ErrorAnswer>;
 
-/// A request with its caller.
+/// An authenticated request.
 struct Request {
     id: RequestId,
     head: RequestHead,
@@ -130,11 +130,11 @@
             Ok(Some(head)) => head,
             Ok(None) => return,
             Err(error) => {
-                refuse_unreadable(connection, &error);
+                reject_unreadable_head(connection, &error);
                 return;
             }
         };
-        let _open = OpenRequest::new(&context.open_requests);
+        let _open = OpenRequestGuard::new(&context.open_requests);
         match serve_request(context, connection, head) {
             Some(next) => connection = next,
             None => return,
@@ -142,33 +142,33 @@
     }
 }
 
-/// Counts a request that is being answered until it is dropped.
-pub struct OpenRequest(Arc<AtomicUsize>);
+/// Counts a request as in progress until dropped.
+pub struct OpenRequestGuard(Arc<AtomicUsize>);
 
-impl OpenRequest {
-    /// Counts one more.
+impl OpenRequestGuard {
+    /// Adds one request to the count.
     pub fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(Arc::clone(count))
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-fn refuse_unreadable(connection: Connection, error: &MessageError) {
+fn reject_unreadable_head(connection: Connection, error: &MessageError) {
     let (status, code) = match error {
         MessageError::TooLarge { .. } => (431, "head_too_large"),
         MessageError::Malformed(_) => (400, "malformed_request"),
         MessageError::TimedOut => (408, "request_timeout"),
         MessageError::Closed | MessageError::Io(_) => return,
     };
-    let answer = not_run(status, code, &error.to_string());
+    let response = not_run(status, code, &error.to_string());
     let mut sink = AnswerSink::new(connection, new_request_id()).with_closing(true);
-    sink.give_up(&answer);
+    sink.give_up(&response);
 }
 
 /// Serves one request; returns the connection if another one may follow.
@@ -179,7 +179,7 @@
 ) -> Option<Connection> {
     let started = Instant::now();
     let id = new_request_id();
-    let has_ticket = names_ticket(&head);
+    let has_ticket = refers_to_ticket(&head);
     let is_closing = !head.keeps_alive() || context.is_leaving.load(Ordering::Acquire);
     match prepare(context, &mut connection, id, head) {
         Ok(Prepared::Exchange(exchange, promise)) => {
@@ -198,21 +198,21 @@
             });
             sink.into_connection()
         }
-        Ok(Prepared::Answer(answer)) => {
+        Ok(Prepared::Response(response)) => {
             let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
-            // A caller that does not take its answer has closed the connection.
-            let _ = sink.whole(answer.status, answer.to_headers(), &answer.body);
+            // A write error means that the caller has closed the connection.
+            let _ = sink.whole(response.status, response.to_headers(), &response.body);
             sink.into_connection()
         }
         Ok(Prepared::Ticketed(call)) => {
-            let caller = call.from.caller.clone();
+            let caller = call.requester.caller.clone();
             let promise = call.promise;
-            let answer = call.run(&context.tickets);
+            let response = call.run(&context.tickets);
             if let Some(promise) = promise {
                 context.recorder.record(Record {
                     caller,
                     promise,
-                    ending: answer.ending(),
+                    ending: response.ending(),
                     first_token: None,
                     whole: started.elapsed(),
                     output: Tokens(0),
@@ -220,27 +220,27 @@
                 });
             }
             let mut sink = AnswerSink::new(connection, id).with_closing(is_closing);
-            let _ = sink.whole(answer.status, answer.to_headers(), &answer.body);
+            let _ = sink.whole(response.status, response.to_headers(), &response.body);
             sink.into_connection()
         }
-        Err(answer) if has_ticket => {
-            // An earlier request with the ticket may have run its call, and only
-            // the owner of the ticket knows.
+        Err(response) if has_ticket => {
+            // An earlier request with this ticket may have run its call; only the
+            // owner of the ticket knows.
             let mut sink = AnswerSink::new(connection, id).with_closing(true);
-            sink.give_up(&answer.with_run_state(RunState::Unknown));
+            sink.give_up(&response.with_run_state(RunState::Unknown));
             None
         }
-        Err(answer) => {
+        Err(response) => {
             // The body may be unread, so no other request can follow.
             let mut sink = AnswerSink::new(connection, id).with_closing(true);
-            sink.give_up(&answer);
+            sink.give_up(&response);
             None
         }
     }
 }
 
-/// Whether the request is about the call of a ticket.
-fn names_ticket(head: &RequestHead) -> bool {
+/// Returns whether the request carries or addresses a ticket.
+fn refers_to_ticket(head: &RequestHead) -> bool {
     let path = head.path.as_str();
     let is_call = path.starts_with(SERVICE_PREFIX) && head.headers.get(TICKET_FIELD).is_some();
     is_call || path.starts_with(TICKET_PREFIX)
@@ -249,15 +249,15 @@
 enum Prepared {
     Exchange(Box<Exchange>, Promise),
     Ticketed(Box<TicketedRequest>),
-    Answer(PlainAnswer),
+    Response(PlainAnswer),
 }
 
-/// What a caller asks of a ticket.
+/// An operation of a caller on a ticket.
 struct TicketedRequest {
     ticket: CompactString,
-    from: TicketCaller,
+    requester: TicketCaller,
     service: Option<ServiceId>,
-    /// What was promised, if the call itself is asked for.
+    /// Latency objective, if the operation is the call itself.
     promise: Option<Promise>,
     request: TicketRequest,
 }
@@ -266,7 +266,7 @@
     fn run(self, tickets: &TicketContext) -> PlainAnswer {
         tickets.serve(
             &self.ticket,
-            &self.from,
+            &self.requester,
             self.service.as_ref(),
             self.request,
         )
@@ -281,7 +281,7 @@
 ) -> Result<Prepared, Rejection> {
     let path = head.path.split('?').next().unwrap_or_default();
     match (head.method.as_str(), path) {
-        ("GET", "/healthz") => return Ok(json_answer(&json!({"status": "ok"}))),
+        ("GET", "/healthz") => return Ok(json_response(&json!({"status": "ok"}))),
         ("GET", "/readyz") => return readiness(context),
         _ => {}
     }
@@ -313,7 +313,7 @@
         return Err(not_ready());
     }
     let revision = context.in_force.revision();
-    Ok(json_answer(
+    Ok(json_response(
         &json!({"status": "ready", "revision": revision}),
     ))
 }
@@ -339,7 +339,8 @@
     })
 }
 
-/// Refuses before the body is read, so that no data enters a forbidden region.
+/// Refuses a request in a region that the caller does not allow. Runs before the
+/// body is read, so that no data enters that region.
 fn check_residency(context: &CallerContext, intent: &CallerIntent) -> Result<(), Rejection> {
     if intent.regions.contains(&context.relay.region) {
         return Ok(());
@@ -347,7 +348,7 @@
     Err(refused(Refusal::new(RefusalReason::WrongRegion)))
 }
 
-fn check_new_work(context: &CallerContext) -> Result<(), Rejection> {
+fn check_accepts_requests(context: &CallerContext) -> Result<(), Rejection> {
     if !context.contact.has_list() {
         return Err(not_ready());
     }
@@ -376,8 +377,8 @@
         .map_err(unreadable)
 }
 
-fn json_answer(value: &serde_json::Value) -> Prepared {
-    Prepared::Answer(PlainAnswer::json(200, value))
+fn json_response(value: &serde_json::Value) -> Prepared {
+    Prepared::Response(PlainAnswer::json(200, value))
 }
 
 fn not_ready() -> Rejection {
@@ -392,7 +393,7 @@
     Box::new(ErrorAnswer::new(status, code, message, not_run_state()))
 }
 
-/// The state of a request that was never given to the relay.
+/// Returns the run state of a request that never reached the relay.
 fn not_run_state() -> RunState {
     RunState::NotRun(Unsent::new().give_up())
 }
--- a/src/caller/routes.rs
+++ b/src/caller/routes.rs
@@ -1,4 +1,4 @@
-//! What each path of the caller interface does.
+//! Handlers of the caller interface, one per path.
 
 use compact_str::CompactString;
 use serde_json::json;
@@ -11,9 +11,9 @@
     SERVICE_PREFIX,
     TICKET_PREFIX,
     TicketedRequest,
-    check_new_work,
+    check_accepts_requests,
     check_residency,
-    json_answer,
+    json_response,
     not_ready,
     not_run,
     read_body,
@@ -77,7 +77,7 @@
             Target::Service(_) => None,
         })
         .collect();
-    Ok(json_answer(&json!({"object": "list", "data": data})))
+    Ok(json_response(&json!({"object": "list", "data": data})))
 }
 
 pub(super) fn chat(
@@ -87,11 +87,12 @@
 ) -> Result<Prepared, Rejection> {
     let intent = request.intent()?;
     check_residency(context, intent)?;
-    check_new_work(context)?;
+    check_accepts_requests(context)?;
     let body = read_body(connection, &request.head)?;
     let chat = ChatRequest::parse(&body)
         .map_err(|error| not_run(400, "invalid_request", &error.to_string()))?;
-    // Tiers order from the most urgent, so the later one is the lower class.
+    // Tiers are ordered from the most urgent one, so the maximum is the lower
+    // priority.
     let tier = chat.tier.max(intent.tier);
     let chat = chat.with_tier(tier);
     let arrival = Arrival {
@@ -121,11 +122,11 @@
 ) -> Result<Prepared, Rejection> {
     let intent = request.intent()?;
     check_residency(context, intent)?;
-    check_new_work(context)?;
+    check_accepts_requests(context)?;
     let (id, path) = service_path(&request.head.path)?;
-    let known = request.in_force.intents.service(&id);
+    let found = request.in_force.intents.service(&id);
     let is_allowed = intent.targets.contains(&Target::Service(id.clone()));
-    let service = known.filter(|_| is_allowed).ok_or_else(|| {
+    let service = found.filter(|_| is_allowed).ok_or_else(|| {
         let refusal = Refusal::new(RefusalReason::UnknownTarget);
         refused(refusal)
     })?;
@@ -136,7 +137,7 @@
         let required = context
             .tickets
             .ticket_required(&ticket_caller(request, intent), &id);
-        return Ok(Prepared::Answer(required));
+        return Ok(Prepared::Response(required));
     }
     let arrival = Arrival {
         request: request.id,
@@ -166,7 +167,7 @@
     match ticket {
         Some(ticket) if !is_repeatable => Ok(Prepared::Ticketed(Box::new(TicketedRequest {
             ticket: ticket.into(),
-            from: ticket_caller(request, intent),
+            requester: ticket_caller(request, intent),
             service: Some(id),
             promise: Some(promise(&exchange.arrival, intent)),
             request: TicketRequest::Call(exchange, digest),
@@ -178,7 +179,7 @@
     }
 }
 
-/// What the caller's intent promises for a request.
+/// Returns the latency objective for a request from the caller's intent.
 fn promise(arrival: &Arrival, intent: &CallerIntent) -> Promise {
     let is_chat = matches!(arrival.target, Target::Model(_));
     Promise {
@@ -195,24 +196,26 @@
     }
 }
 
-/// `GET` tells the state of a ticket, `DELETE` closes it unless it has started.
+/// `GET` returns the state of a ticket; `DELETE` cancels it unless its call has
+/// started.
 pub(super) fn ticket(request: &Request) -> Result<Prepared, Rejection> {
     let intent = request.intent()?;
     let text = request.head.path.strip_prefix(TICKET_PREFIX);
-    let asked = match request.head.method.as_str() {
+    let operation = match request.head.method.as_str() {
         "DELETE" => TicketRequest::Cancel,
         _ => TicketRequest::State,
     };
     Ok(Prepared::Ticketed(Box::new(TicketedRequest {
         ticket: text.unwrap_or_default().into(),
-        from: ticket_caller(request, intent),
+        requester: ticket_caller(request, intent),
         service: None,
         promise: None,
-        request: asked,
+        request: operation,
     })))
 }
 
-/// Entry hosts for the caller, with a ticket if the query names a service.
+/// Returns the entry hosts for the caller, with a ticket if the query names a
+/// service.
 pub(super) fn entry(context: &CallerContext, request: &Request) -> Result<Prepared, Rejection> {
     let intent = request.intent()?;
     let (caller, now_ms) = (request.caller.clone(), clock::now());
@@ -220,23 +223,24 @@
         .relay
         .decider
         .query(move |gateway| gateway.entry_list(now_ms, &caller));
-    // A host that has just started does not know even itself yet.
+    // A host that has just started does not list even itself yet.
     let list = list
         .ok()
         .flatten()
         .filter(|list| !list.hosts.is_empty())
         .ok_or_else(not_ready)?;
     let mut body = json!({"hosts": list.hosts, "use_ms": list.use_ms});
-    if let Some(service) = asked_service(&request.head.path, intent) {
+    if let Some(service) = requested_service(&request.head.path, intent) {
         let from = ticket_caller(request, intent);
-        // A host that cannot issue one now says so when the call comes.
+        // If no ticket can be issued now, the caller learns the reason when it
+        // makes the call.
         body["ticket"] = json!(context.tickets.issue(&from, &service).ok());
     }
-    Ok(json_answer(&body))
+    Ok(json_response(&body))
 }
 
-/// The service in `?service=NAME`, if the caller may use it.
-fn asked_service(path: &str, intent: &CallerIntent) -> Option<ServiceId> {
+/// Returns the service in `?service=NAME`, if the caller may use it.
+fn requested_service(path: &str, intent: &CallerIntent) -> Option<ServiceId> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, name) = pairs.find(|(key, _)| *key == "service")?;
@@ -247,29 +251,32 @@
 
 /// Splits `/v1/services/SERVICE/REST` into the service and `/REST`.
 fn service_path(path: &str) -> Result<(ServiceId, CompactString), Rejection> {
-    let rest = path.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
-    let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
+    let remainder = path.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
+    let (name, rest) = remainder.split_once('/').unwrap_or((remainder, ""));
     let id = name
         .parse()
         .map_err(|_| refused(Refusal::new(RefusalReason::UnknownTarget)))?;
     Ok((id, compact_str::format_compact!("/{rest}")))
 }
 
-/// Fields of the caller that a service gets; marks for hosts never pass.
+/// Returns the header fields of the request that a service receives; fields that
+/// only concern hosts are never forwarded.
 fn forwarded_headers(headers: &Headers, id: RequestId) -> Headers {
-    const PASSED: [&str; 4] = ["content-type", "accept", "accept-language", "if-none-match"];
+    const FORWARDED_FIELDS: [&str; 4] =
+        ["content-type", "accept", "accept-language", "if-none-match"];
     let mut forwarded = Headers::new().with_field("x-request-id", &id.to_string());
     for field in headers.iter() {
-        if PASSED.contains(&field.name.as_str()) {
+        if FORWARDED_FIELDS.contains(&field.name.as_str()) {
             forwarded.push(&field.name, &field.value);
         }
     }
     forwarded
 }
 
-/// The instant by which the answer is due, at most the intent's deadline ahead.
+/// Returns the deadline of the response: the requested one, limited by the
+/// caller's intent.
 fn deadline(head: &RequestHead, intent: &CallerIntent) -> Result<Millis, Rejection> {
-    let asked_ms = match head.headers.get("x-deadline-ms") {
+    let requested_ms = match head.headers.get("x-deadline-ms") {
         None => intent.deadline_ms,
         Some(text) => text.parse().map(Millis).map_err(|_| {
             not_run(
@@ -279,5 +286,5 @@
             )
         })?,
     };
-    Ok(clock::now() + asked_ms.min(intent.deadline_ms))
+    Ok(clock::now() + requested_ms.min(intent.deadline_ms))
 }
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Serves what other hosts ask of this one.
+//! Serves the requests of other hosts.
 
 use std::{
     sync::{
@@ -14,7 +14,7 @@
 use compact_str::format_compact;
 
 use crate::{
-    caller::OpenRequest,
+    caller::OpenRequestGuard,
     decision::{
         event::{
             Arrival,
@@ -67,90 +67,96 @@
 };
 
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the requests of other hosts need.
+/// Dependencies that the requests of all hosts share.
 #[derive(Clone)]
 pub struct PeerContext {
-    /// What requests need on their way.
+    /// Dependencies of the relay.
     pub relay: RelayContext,
-    /// What ticketed calls need.
+    /// Dependencies of ticketed calls.
     pub tickets: TicketContext,
-    /// Counts finished requests.
+    /// Provides the burn report of this host.
     pub recorder: RecorderHandle,
     /// Configuration in force.
     pub in_force: InForceCell,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub open_requests: Arc<AtomicUsize>,
 }
 
-/// Serves one exchange.
+/// Serves one request of another host.
 pub fn serve(context: &PeerContext, exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
     match exchange.request().clone() {
-        Frame::Forward(head) => forwarded(context, exchange, head),
-        Frame::GetChanges { revision } => changes(context, exchange, revision),
-        Frame::TicketCall { ticket, head } => ticket_call(context, exchange, &ticket, head),
+        Frame::Forward(head) => serve_forward(context, exchange, head),
+        Frame::GetChanges { revision } => serve_changes(context, exchange, revision),
+        Frame::TicketCall { ticket, head } => serve_ticket_call(context, exchange, &ticket, head),
         Frame::GetTicketStatus { ticket, caller } => {
-            ticket_request(context, exchange, &ticket, &caller, TicketRequest::State)
+            serve_ticket_request(context, exchange, &ticket, &caller, TicketRequest::State)
         }
         Frame::CancelTicket { ticket, caller } => {
-            ticket_request(context, exchange, &ticket, &caller, TicketRequest::Cancel)
+            serve_ticket_request(context, exchange, &ticket, &caller, TicketRequest::Cancel)
         }
-        Frame::TicketHandover { .. } => handover(context, exchange),
-        Frame::GetBurnReport => burn(context, exchange),
-        Frame::GetEndpoints => endpoints(context, exchange),
+        Frame::TicketHandover { .. } => serve_handover(context, exchange),
+        Frame::GetBurnReport => serve_burn_report(context, exchange),
+        Frame::GetEndpoints => serve_endpoints(context, exchange),
         _ => Err(LinkError::Unexpected("the request is not supported")),
     }
 }
 
-fn burn(context: &PeerContext, exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
+fn serve_burn_report(
+    context: &PeerContext,
+    exchange: &mut ServerExchange<'_>,
+) -> Result<(), LinkError> {
     let report = context.recorder.report();
     let report = report.ok_or(LinkError::Unexpected("the recorder is too busy"))?;
     let bytes = report.encode().map_err(|_| LinkError::Malformed)?;
-    exchange.finish(&Frame::BurnReport, &bytes, answer_deadline())
+    exchange.finish(&Frame::BurnReport, &bytes, response_deadline())
 }
 
-fn changes(
+fn serve_changes(
     context: &PeerContext,
     exchange: &mut ServerExchange<'_>,
     revision: Revision,
 ) -> Result<(), LinkError> {
     let set = context.in_force.changes_since(revision);
     let bytes = postcard::to_allocvec(&set).map_err(|_| LinkError::Malformed)?;
-    exchange.finish(&Frame::Changes, &bytes, answer_deadline())
+    exchange.finish(&Frame::Changes, &bytes, response_deadline())
 }
 
-fn endpoints(context: &PeerContext, exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
+fn serve_endpoints(
+    context: &PeerContext,
+    exchange: &mut ServerExchange<'_>,
+) -> Result<(), LinkError> {
     let known = context.relay.decider.query(peer_list::known_endpoints);
     let known = known.map_err(|_| LinkError::Unexpected("the event ring is full"))?;
     let bytes = postcard::to_allocvec(&known).map_err(|_| LinkError::Malformed)?;
-    exchange.finish(&Frame::EndpointList, &bytes, answer_deadline())
+    exchange.finish(&Frame::EndpointList, &bytes, response_deadline())
 }
 
-/// Serves a request that another host accepted; it goes no further than here.
-fn forwarded(
+/// Serves a request that another host forwards; it is not forwarded again.
+fn serve_forward(
     context: &PeerContext,
     exchange: &mut ServerExchange<'_>,
     head: ForwardHead,
 ) -> Result<(), LinkError> {
-    let _open = OpenRequest::new(&context.open_requests);
+    let _open = OpenRequestGuard::new(&context.open_requests);
     let unsent = Unsent::new();
-    // A region that the sender or this host does not allow must not even see
-    // the body; either may have the older intent.
-    let from = ticket_caller(context, &head.caller, Some(&head.allowed));
-    let allowed = from.map_or(head.allowed.clone(), |from| from.allowed);
+    // The body must not enter a region that the sender or this host does not
+    // allow. Both are checked because either may have the older intent.
+    let requester = ticket_caller(context, &head.caller, Some(&head.allowed));
+    let allowed = requester.map_or(head.allowed.clone(), |requester| requester.allowed);
     if !allowed.contains(&context.relay.region) {
         let refusal = Refusal::new(RefusalReason::WrongRegion);
         return refuse(exchange, refusal, RunState::NotRun(unsent.give_up()));
     }
     let body = exchange.read_body(Instant::now() + BODY_TIMEOUT)?;
     let request = head.request;
-    let Some(work) = prepare(head, body) else {
+    let Some(relayed) = decode_request(head, body) else {
         let refusal = Refusal::new(RefusalReason::UnknownTarget);
         return refuse(exchange, refusal, RunState::NotRun(unsent.give_up()));
     };
     let mut sink = AnswerSink::to_host(exchange, request);
-    let (outcome, _) = relay::execute(&context.relay, work, unsent, &mut sink);
+    let (outcome, _) = relay::execute(&context.relay, relayed, unsent, &mut sink);
     match outcome {
         ExchangeOutcome::Completed(_) => Ok(()),
         ExchangeOutcome::CallerDisconnected => Err(LinkError::Closed),
@@ -160,33 +166,34 @@
             has_delivered,
         } => {
             let state = claim.into_state(has_delivered);
-            tracing::info!(%request, reason = ?refusal.reason, run_state = %state, "forwarded request given up");
+            tracing::info!(%request, reason = ?refusal.reason, run_state = %state, "forwarded request failed; the sending host receives the refusal");
             refuse(exchange, refusal, state)
         }
     }
 }
 
-fn ticket_call(
+fn serve_ticket_call(
     context: &PeerContext,
     exchange: &mut ServerExchange<'_>,
     ticket: &str,
     head: ForwardHead,
 ) -> Result<(), LinkError> {
-    let _open = OpenRequest::new(&context.open_requests);
-    let Some(from) = ticket_caller(context, &head.caller, Some(&head.allowed)) else {
+    let _open = OpenRequestGuard::new(&context.open_requests);
+    let Some(requester) = ticket_caller(context, &head.caller, Some(&head.allowed)) else {
         return Err(LinkError::Unexpected("the caller is not known here"));
     };
     let body = exchange.read_body(Instant::now() + BODY_TIMEOUT)?;
     let path = format_compact!("/v1/services/{}{}", service_name(&head.target), head.path);
     let digest = CallDigest::new(&head.method, &path, &body);
-    let Some(mut work) = prepare(head, body) else {
+    let Some(mut relayed) = decode_request(head, body) else {
         return Err(LinkError::Unexpected("the call is not valid"));
     };
-    // The owner of the ticket pays for the call that it runs.
-    work.arrival.origin = Origin::Caller;
-    let request = TicketRequest::Call(Box::new(work), digest);
-    let answer = context.tickets.serve_forwarded(ticket, &from, request);
-    finish_ticket(exchange, &answer)
+    // The owner of the ticket charges the call that it runs to its own budget
+    // grant.
+    relayed.arrival.origin = Origin::Caller;
+    let request = TicketRequest::Call(Box::new(relayed), digest);
+    let response = context.tickets.serve_forwarded(ticket, &requester, request);
+    send_ticket_response(exchange, &response)
 }
 
 fn service_name(target: &Target) -> &str {
@@ -196,48 +203,54 @@
     }
 }
 
-fn ticket_request(
+fn serve_ticket_request(
     context: &PeerContext,
     exchange: &mut ServerExchange<'_>,
     ticket: &str,
     caller: &CallerId,
     request: TicketRequest,
 ) -> Result<(), LinkError> {
-    let Some(from) = ticket_caller(context, caller, None) else {
+    let Some(requester) = ticket_caller(context, caller, None) else {
         return Err(LinkError::Unexpected("the caller is not known here"));
     };
-    let answer = context.tickets.serve_forwarded(ticket, &from, request);
-    finish_ticket(exchange, &answer)
+    let response = context.tickets.serve_forwarded(ticket, &requester, request);
+    send_ticket_response(exchange, &response)
 }
 
-/// The caller with the regions that this host and the other one allow.
+/// Returns the caller with the regions that both this host and the sender allow.
 fn ticket_caller(
     context: &PeerContext,
     caller: &CallerId,
-    other: Option<&AllowedRegions>,
+    sender_regions: Option<&AllowedRegions>,
 ) -> Option<TicketCaller> {
     let current = context.in_force.get()?;
-    let own = AllowedRegions::new(current.intents.caller(caller)?);
-    let allowed = other.map_or(own.clone(), |other| own.intersect(other));
+    let local = AllowedRegions::new(current.intents.caller(caller)?);
+    let allowed = sender_regions.map_or(local.clone(), |sender| local.intersect(sender));
     Some(TicketCaller {
         caller: caller.clone(),
         allowed,
     })
 }
 
-fn finish_ticket(exchange: &mut ServerExchange<'_>, answer: &PlainAnswer) -> Result<(), LinkError> {
-    let bytes = postcard::to_allocvec(answer).map_err(|_| LinkError::Malformed)?;
-    exchange.finish(&Frame::TicketStatus, &bytes, answer_deadline())
+fn send_ticket_response(
+    exchange: &mut ServerExchange<'_>,
+    response: &PlainAnswer,
+) -> Result<(), LinkError> {
+    let bytes = postcard::to_allocvec(response).map_err(|_| LinkError::Malformed)?;
+    exchange.finish(&Frame::TicketStatus, &bytes, response_deadline())
 }
 
-/// Takes over the tickets of a leaving host; without an acknowledgement it asks
-/// again.
-fn handover(context: &PeerContext, exchange: &mut ServerExchange<'_>) -> Result<(), LinkError> {
+/// Imports the tickets of a host that is shutting down; that host retries until
+/// it receives an acknowledgement.
+fn serve_handover(
+    context: &PeerContext,
+    exchange: &mut ServerExchange<'_>,
+) -> Result<(), LinkError> {
     let body = exchange.read_body(Instant::now() + BODY_TIMEOUT)?;
     if !context.tickets.import(&body) {
         return Err(LinkError::Unexpected("the ticket table is not taken over"));
     }
-    exchange.finish(&Frame::Ack, &[], answer_deadline())
+    exchange.finish(&Frame::Ack, &[], response_deadline())
 }
 
 fn refuse(
@@ -253,10 +266,10 @@
         },
         RunStateWord::NotRun | RunStateWord::Unknown => Frame::Refused { refusal, run_state },
     };
-    exchange.finish(&frame, &[], answer_deadline())
+    exchange.finish(&frame, &[], response_deadline())
 }
 
-fn prepare(head: ForwardHead, body: Vec<u8>) -> Option<Exchange> {
+fn decode_request(head: ForwardHead, body: Vec<u8>) -> Option<Exchange> {
     let mut needs_continuation = false;
     let payload = match &head.target {
         Target::Model(_) => {
@@ -293,6 +306,6 @@
     Some(Exchange { arrival, payload })
 }
 
-fn answer_deadline() -> Instant {
-    Instant::now() + ANSWER_TIMEOUT
+fn response_deadline() -> Instant {
+    Instant::now() + RESPONSE_TIMEOUT
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -198,7 +198,7 @@
     let outcome = match context.decider.submit(exchange.arrival) {
         Ok(actions) => relay.execute_actions(&actions),
         Err(error) => {
-            tracing::warn!(request = %relay.arrival.request, %error, "event ring is full; the request is refused");
+            tracing::warn!(request = %relay.arrival.request, %error, "could not pass the request to the decider; it is refused");
             let refusal =
                 Refusal::new(RefusalReason::Overloaded).with_retry_after(SHED_RETRY_AFTER_MS);
             relay.failed(refusal)
