--- a/src/host/components.rs
+++ b/src/host/components.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of a host before its threads start.
+//! Starts the components of a host.
 
 use std::{
     net::{
@@ -71,11 +71,11 @@
     }, //
 };
 
-/// When to come back after the connection limit was reached.
+/// `Retry-After` of a connection over the limit.
 const OVERLOAD_RETRY_AFTER_MS: Millis = Millis(1_000);
 
-/// Starts the poller, whose reports go to gossip; what is news comes back from
-/// there and reaches the decisions.
+/// Starts the poller. Its reports go to gossip, which passes those that change
+/// the known state on to the decider.
 pub(super) fn start_poller(gossip: &Arc<GossipSocket>) -> Result<Poller, StartError> {
     let gossip = Arc::clone(gossip);
     Poller::start(PollerConfig::new(), move |report| {
@@ -142,12 +142,12 @@
     decider: &DeciderHandle,
     sources: SourceRing,
 ) -> Result<GossipSocket, StartError> {
-    let fail = |source| StartError::Listen {
+    let listen_error = |source| StartError::Listen {
         address: config.peer_address,
         purpose: "gossip",
         source,
     };
-    let socket = UdpSocket::bind(config.peer_address).map_err(fail)?;
+    let socket = UdpSocket::bind(config.peer_address).map_err(listen_error)?;
     let gossip = GossipConfig::new(config.host.clone(), incarnation, config.region.clone())
         .with_seeds(config.seeds.clone());
     let decider = decider.clone();
@@ -158,7 +158,7 @@
             GossipEvent::Summary(summary) => Event::Summary(summary),
             GossipEvent::HigherRevision(source) => return sources.note(source),
         };
-        // GossipEvent comes again, so a full ring may drop it.
+        // Gossip repeats its records, so a full ring may drop an event.
         let _ = decider.report(event);
     };
     GossipSocket::start(
@@ -167,7 +167,7 @@
         &ClusterKey::new(&keys.cluster_key),
         on_event,
     )
-    .map_err(fail)
+    .map_err(listen_error)
 }
 
 pub(super) fn listen(
@@ -181,12 +181,12 @@
     })
 }
 
-/// Answers a connection over the limit.
+/// Sends an error response on a connection over the limit.
 pub(super) fn refuse_connection(connection: Connection) {
     let state = RunState::NotRun(Unsent::new().give_up());
     let refusal = Refusal::new(RefusalReason::Overloaded).with_retry_after(OVERLOAD_RETRY_AFTER_MS);
-    let answer = ErrorAnswer::from_refusal(refusal, state);
+    let response = ErrorAnswer::from_refusal(refusal, state);
     AnswerSink::new(connection, RequestId::default())
         .with_closing(true)
-        .give_up(&answer);
+        .give_up(&response);
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,6 +1,6 @@
-//! One entry host: its threads and the rings between them.
+//! A running entry host: its threads and the rings between them.
 
-mod parts;
+mod components;
 
 use std::{
     io,
@@ -30,7 +30,7 @@
 use rand::RngExt;
 use thiserror::Error;
 
-use self::parts::{
+use self::components::{
     listen,
     refuse_connection,
     start_gossip,
@@ -118,14 +118,14 @@
     }, //
 };
 
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Keys of one host, read from files.
 #[derive(Clone)]
 pub struct HostKeys {
-    /// The key that all hosts share.
+    /// Key that all hosts of the cluster share.
     pub cluster_key: Vec<u8>,
-    /// The operators' key.
+    /// Key that operators present to the admin interface.
     pub operator_key: OperatorKey,
 }
 
@@ -148,9 +148,9 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Who was to connect there.
+        /// Purpose of the listener.
         purpose: &'static str,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The cluster key cannot be used.
@@ -164,7 +164,7 @@
     Thread {
         /// The thread.
         name: &'static str,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -198,7 +198,7 @@
         let callers = listen(config.caller_address, "callers")?;
         let caller_address = callers.local_addr().unwrap_or(config.caller_address);
         let incarnation = Incarnation(rand::rng().random());
-        let (ask_ring, asks) = spending::ring();
+        let (grant_request_ring, grant_requests) = spending::ring();
         let gateway = Gateway::new(GatewayConfig {
             host: config.host.clone(),
             incarnation,
@@ -208,7 +208,7 @@
         })
         .with_policy(Policy::new(config.weight));
         let (decider, decider_thread) =
-            decider::start(gateway, move |action| ask_ring.take(action));
+            decider::start(gateway, move |action| grant_request_ring.take(action));
         let peer_listener = listen(config.peer_address, "hosts")?;
         let (source_ring, sources) = catch_up::ring();
         let gossip = start_gossip(&config, incarnation, keys, &decider, source_ring)?;
@@ -260,7 +260,7 @@
             threads: vec![decider_thread, ticket_thread, recorder_thread],
             config,
         };
-        host.start_platform(asks)?;
+        host.start_platform(grant_requests)?;
         host.start_catch_up(sources)?;
         host.start_peer_server(peer_listener)?;
         host.start_announcer()?;
@@ -269,32 +269,33 @@
         Ok(host)
     }
 
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Whether a configuration is in force here and the endpoints are known.
+    /// Returns whether a configuration is in force and the endpoint list is known.
     pub fn is_ready(&self) -> bool {
         self.in_force.get().is_some() && self.contact.has_list()
     }
 
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub fn open_requests(&self) -> usize {
         self.open_requests.load(Ordering::Acquire)
     }
 
-    /// Takes no new work from now on; requests in progress go on.
-    pub fn leave(&self) {
+    /// Stops accepting new requests; requests in progress continue.
+    pub fn begin_shutdown(&self) {
         self.is_leaving.store(true, Ordering::Release);
         if self.decider.report(Event::Leaving).is_err() {
-            tracing::warn!("could not tell the decider that this host is leaving");
+            tracing::warn!("could not notify the decider that this host is shutting down");
         }
     }
 
-    /// Waits for the requests in progress and hands the ticket table over;
-    /// returns how many requests are left.
-    pub fn drain<F>(&self, is_cut_short: F) -> usize
+    /// Waits for the requests in progress, then hands the ticket table over to
+    /// another host. Returns the number of requests still in progress when the
+    /// wait ended.
+    pub fn drain<F>(&self, is_interrupted: F) -> usize
     where
         F: Fn() -> bool,
     {
@@ -306,34 +307,37 @@
         let successor = handover.start();
         let limit = Duration::from_millis(self.config.drain_limit_ms.0);
         let deadline = Instant::now() + limit;
-        let is_over = || Instant::now() >= deadline || is_cut_short();
-        while self.open_requests() > 0 && !is_over() {
-            thread::sleep(DRAIN_POLL);
+        let is_finished = || Instant::now() >= deadline || is_interrupted();
+        while self.open_requests() > 0 && !is_finished() {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        let left = self.open_requests();
-        if let Some(successor) = successor.filter(|_| !is_cut_short()) {
+        let unfinished = self.open_requests();
+        if let Some(successor) = successor.filter(|_| !is_interrupted()) {
             let host = &successor.instance.host;
             match handover.finish(&successor) {
-                true => tracing::info!(%host, "handed the ticket table over"),
-                false => tracing::warn!(%host, "the ticket table was not handed over"),
+                true => tracing::info!(%host, "ticket table handed over to the successor"),
+                false => {
+                    tracing::warn!(%host, "ticket table handover failed; the states of its tickets may be unknown")
+                }
             }
         }
-        left
+        unfinished
     }
 
-    /// Ends the threads.
+    /// Stops the listeners and waits for the threads, except those that outlive the
+    /// caller connections.
     pub fn stop(self) {
         self.stop.set();
         self.acceptor.stop(self.caller_address);
         self.peer_server.stop(self.config.peer_address);
         for thread in self.threads {
-            // These end when the last caller connection has gone.
+            // These threads end when the last caller connection is closed.
             let waits_for_callers = matches!(
                 thread.thread().name(),
                 Some("decider" | "spending" | "catch-up" | "tickets" | "recorder")
             );
             if !waits_for_callers && thread.join().is_err() {
-                tracing::error!("a thread panicked");
+                tracing::error!("a thread of this host panicked");
             }
         }
     }
@@ -428,9 +432,9 @@
                 regions.unwrap_or_default()
             }),
             status: Arc::new(move || {
-                let shown = for_status.query(|gateway| status::status(gateway, clock::now()));
+                let current = for_status.query(|gateway| status::status(gateway, clock::now()));
                 let platform_ago_ms = contact.response_age_ms();
-                shown.ok().map(|status| Status {
+                current.ok().map(|status| Status {
                     is_ready: status.is_ready && contact.has_list(),
                     platform_ago_ms,
                     ..status
@@ -455,7 +459,7 @@
             .collect()
     }
 
-    fn start_platform(&mut self, asks: Asks) -> Result<(), StartError> {
+    fn start_platform(&mut self, grant_requests: Asks) -> Result<(), StartError> {
         let list = ServiceList::new(self.config.platform_address);
         let kv = KeyValue::new(self.config.platform_address);
         let configuration = self.configuration();
@@ -488,7 +492,7 @@
         let (in_force, decider) = (self.in_force.clone(), self.decider.clone());
         let incarnation = self.incarnation;
         self.spawn("spending", move || {
-            spending::run(&asks, incarnation, &kv, &in_force, &decider);
+            spending::run(&grant_requests, incarnation, &kv, &in_force, &decider);
         })
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -50,7 +50,7 @@
         thread::sleep(SIGNAL_POLL);
     }
     tracing::info!(host = %name, "leaving; a second signal ends the process at once");
-    host.leave();
+    host.begin_shutdown();
     let left = host.drain(|| signals.load(Ordering::Relaxed) > 1);
     if left > 0 {
         tracing::warn!(host = %name, requests = left, "requests were cut off");
