--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -177,8 +177,7 @@
     );
 }
 
-/// Relays one request until its outcome is known; sends no error
-/// response.
+/// Relays one request until its outcome is known; sends no error response.
 pub fn execute(
     context: &RelayContext,
     exchange: Exchange,
