--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Promise `forwarding`: no request ever loops between regions or hosts.
+//! Guarantee `forwarding`: no request loops between regions or hosts.
 
 mod testenv;
 
@@ -70,11 +70,11 @@
 
 const REGIONS: [&str; 3] = ["stred", "zapad", "sever"];
 const REQUESTS_PER_REGION: usize = 12;
-/// Time for what is known of other regions to arrive at a host.
-const KNOWN: Duration = Duration::from_secs(5);
-const EXCHANGE: Duration = Duration::from_secs(5);
-/// Fields with which a caller could pass a request off as forwarded.
-const FORGED: [(&str, &str); 6] = [
+/// Time for gossip of other regions to reach a host.
+const GOSSIP_TIMEOUT: Duration = Duration::from_secs(5);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Header fields with which a caller could present its request as forwarded.
+const FORGED_HEADERS: [(&str, &str); 6] = [
     ("x-request-id", "00000000000000000000000000000007"),
     ("x-forwarded-for", "10.0.0.1"),
     ("forwarded", "by=zapad-1;for=stred-1"),
@@ -110,13 +110,13 @@
         .collect()
 }
 
-/// Waits until a host knows capacity in the other regions.
+/// Waits until every host knows entry hosts in all regions.
 fn wait_until_regions_are_known(env: &TestEnv) {
     for host in &env.hosts {
         let caller = Caller::new(host.address).with_key(CALLER_KEY);
-        wait_for(KNOWN, "entry hosts of all regions", || {
-            let answer = caller.get("/v1/entry").map(|answer| answer.json());
-            let hosts = answer.unwrap_or_default()["hosts"].clone();
+        wait_for(GOSSIP_TIMEOUT, "entry hosts of all regions", || {
+            let response = caller.get("/v1/entry").map(|response| response.json());
+            let hosts = response.unwrap_or_default()["hosts"].clone();
             let hosts = hosts.as_array().cloned().unwrap_or_default();
             let is_listed = |region: &str| hosts.iter().any(|host| host["region"] == region);
             REGIONS.iter().all(|region| is_listed(region))
@@ -124,8 +124,8 @@
     }
 }
 
-/// Loses all gossip, so that each host goes on believing what it last heard.
-fn lose_gossip(env: &TestEnv) {
+/// Drops all gossip, so that each host keeps the last state that it received.
+fn drop_all_gossip(env: &TestEnv) {
     let faults = DatagramFaults {
         lost_permille: 1_000,
         ..DatagramFaults::default()
@@ -135,8 +135,9 @@
     }
 }
 
-/// Sends the marked requests of all regions at once, to the hosts in turn.
-fn chat_everywhere(env: &TestEnv) -> Vec<CallerAnswer> {
+/// Sends the marked requests of all regions at once, distributed over the hosts
+/// of each region.
+fn send_chats_in_all_regions(env: &TestEnv) -> Vec<CallerAnswer> {
     let mut chats = Vec::new();
     for region in REGIONS {
         let hosts: Vec<SocketAddr> = env
@@ -151,14 +152,14 @@
             chats.push(thread::spawn(move || caller.chat(&prompt, 30)));
         }
     }
-    let answers = chats.into_iter().map(|chat| chat.join());
-    answers
-        .map(|answer| answer.expect("a caller must not panic"))
-        .map(|answer| answer.expect("the host must answer"))
+    let responses = chats.into_iter().map(|chat| chat.join());
+    responses
+        .map(|response| response.expect("a caller must not panic"))
+        .map(|response| response.expect("the host must answer"))
         .collect()
 }
 
-fn watch_wires(env: &TestEnv) {
+fn watch_for_markers(env: &TestEnv) {
     for seat in &env.testbed.seats {
         for marker in all_markers() {
             seat.peer_wire.watch_for(&marker);
@@ -166,45 +167,48 @@
     }
 }
 
-/// How often each request passed into each host.
-fn crossings(env: &TestEnv) -> BTreeMap<String, Vec<(String, u64)>> {
-    let crossed_into = |seat: &HostSeat, marker: &str| {
+/// Returns how often each request was forwarded to each host.
+fn forwards_into_hosts(env: &TestEnv) -> BTreeMap<String, Vec<(String, u64)>> {
+    let forwarded_into = |seat: &HostSeat, marker: &str| {
         let count = seat.peer_wire.sightings(marker);
         (seat.config.host.to_string(), count)
     };
-    let crossings = |marker: &str| {
+    let hosts_reached = |marker: &str| {
         let seats = env.testbed.seats.iter();
-        let into = seats.map(|seat| crossed_into(seat, marker));
+        let into = seats.map(|seat| forwarded_into(seat, marker));
         into.filter(|(_, count)| *count > 0).collect()
     };
     let markers = all_markers();
     markers
         .iter()
-        .map(|marker| (marker.clone(), crossings(marker)))
+        .map(|marker| (marker.clone(), hosts_reached(marker)))
         .collect()
 }
 
-/// Checks that no request crossed twice.
-fn assert_at_most_one_crossing(env: &TestEnv) {
-    for (marker, into) in &crossings(env) {
+/// Asserts that no request was forwarded twice.
+fn assert_forwarded_at_most_once(env: &TestEnv) {
+    for (marker, into) in &forwards_into_hosts(env) {
         let total: u64 = into.iter().map(|(_, count)| count).sum();
-        assert!(total <= 1, "{marker} crossed {total} times: {into:?}");
+        assert!(total <= 1, "{marker} was forwarded {total} times: {into:?}");
     }
 }
 
-/// Checks that no request came to a host twice or back to its region.
+/// Asserts that no request was forwarded to a host twice or back to its region.
 fn assert_no_loop(env: &TestEnv) {
-    for (marker, into) in &crossings(env) {
+    for (marker, into) in &forwards_into_hosts(env) {
         for (host, count) in into {
-            assert_eq!(*count, 1, "{marker} came to {host} {count} times");
+            assert_eq!(*count, 1, "{marker} was forwarded to {host} {count} times");
             let (region, _) = host.split_once('-').expect("hosts are named by region");
-            assert!(!marker.contains(region), "{marker} came back to {host}");
+            assert!(
+                !marker.contains(region),
+                "{marker} was forwarded back to {host}"
+            );
         }
     }
 }
 
-/// How many engines ran each request.
-fn runs(env: &TestEnv) -> BTreeMap<String, usize> {
+/// Returns how many engines ran each request.
+fn run_counts(env: &TestEnv) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for engine in &env.testbed.engines {
         for seen in engine.standin.seen() {
@@ -215,98 +219,98 @@
 }
 
 fn assert_each_ran_once(env: &TestEnv) {
-    for (id, count) in runs(env) {
+    for (id, count) in run_counts(env) {
         assert!(count <= 1, "request {id} ran at {count} engines");
     }
 }
 
-/// Guards against requests that overloaded regions hand back to each other, and
-/// against a request that runs at two engines.
+/// Guards against overloaded regions that forward requests back to each other,
+/// and against a request that runs at two engines.
 #[test]
-fn a_request_never_comes_back_while_every_region_is_overloaded() {
+fn request_does_not_loop_while_every_region_is_overloaded() {
     let env = TestEnv::start(&small_engines());
     wait_until_regions_are_known(&env);
-    watch_wires(&env);
+    watch_for_markers(&env);
 
-    let answers = chat_everywhere(&env);
+    let responses = send_chats_in_all_regions(&env);
 
     assert_no_loop(&env);
     assert_each_ran_once(&env);
-    assert!(answers.iter().any(|answer| answer.status == 200));
+    assert!(responses.iter().any(|response| response.status == 200));
 }
 
-/// Guards against a request that is sent to one region after another.
+/// Guards against a request that overloaded regions forward one after another.
 #[test]
-fn a_request_crosses_at_most_once_while_every_region_is_overloaded() {
+fn request_is_forwarded_at_most_once_while_every_region_is_overloaded() {
     let env = TestEnv::start(&small_engines());
     wait_until_regions_are_known(&env);
-    watch_wires(&env);
+    watch_for_markers(&env);
 
-    chat_everywhere(&env);
+    send_chats_in_all_regions(&env);
 
-    assert_at_most_one_crossing(&env);
+    assert_forwarded_at_most_once(&env);
 }
 
-/// Sends requests while each host believes that another region has room and no
-/// region has any.
+/// Sends requests while the last state that each host received shows capacity in
+/// other regions, although no region has any.
 fn chat_with_contradictory_views() -> (TestEnv, Vec<CallerAnswer>) {
     let env = TestEnv::start(&small_engines());
     wait_until_regions_are_known(&env);
-    watch_wires(&env);
-    lose_gossip(&env);
+    watch_for_markers(&env);
+    drop_all_gossip(&env);
     for engine in &env.testbed.engines {
         engine.standin.set_leaving(true);
     }
-    let answers = chat_everywhere(&env);
-    (env, answers)
+    let responses = send_chats_in_all_regions(&env);
+    (env, responses)
 }
 
-/// Guards against a loop between regions each of which believes that another
-/// one has room, and against a request that runs although it is refused.
+/// Guards against a loop between regions whose outdated state shows capacity in
+/// each other, and against a request that runs although it is refused.
 #[test]
-fn a_request_never_comes_back_with_contradictory_views() {
-    let (env, answers) = chat_with_contradictory_views();
+fn request_does_not_loop_with_contradictory_views() {
+    let (env, responses) = chat_with_contradictory_views();
 
     assert_no_loop(&env);
-    let crossings = crossings(&env);
-    let has_crossed = crossings.values().any(|into| !into.is_empty());
-    assert!(has_crossed, "the views do not contradict: {}", env.logs());
+    let forwards = forwards_into_hosts(&env);
+    let has_forwarded = forwards.values().any(|into| !into.is_empty());
+    assert!(has_forwarded, "no request was forwarded: {}", env.logs());
     assert_each_ran_once(&env);
-    for answer in answers.iter().filter(|answer| answer.status != 200) {
-        assert_eq!(answer.run_state(), "not_run");
+    for response in responses.iter().filter(|response| response.status != 200) {
+        assert_eq!(response.run_state(), "not_run");
     }
 }
 
-/// Guards against a request that is sent to one region after another because
-/// each seems to have room.
+/// Guards against a request that is forwarded to one region after another because
+/// the outdated state of each shows capacity in the next.
 #[test]
-fn a_request_crosses_at_most_once_with_contradictory_views() {
-    let (env, _answers) = chat_with_contradictory_views();
+fn request_is_forwarded_at_most_once_with_contradictory_views() {
+    let (env, _responses) = chat_with_contradictory_views();
 
-    assert_at_most_one_crossing(&env);
+    assert_forwarded_at_most_once(&env);
 }
 
-/// Guards against a caller that makes a host take its request for a forwarded
-/// one, which is final there, or that chooses the id of its request.
+/// Guards against a caller whose header fields make a host treat its request as
+/// forwarded, so that it is not forwarded again, or set the request id.
 #[test]
-fn a_forwarding_mark_from_a_caller_is_ignored() {
+fn forwarding_headers_from_a_caller_are_ignored() {
     let env = TestEnv::start(&TestbedOptions::new());
     wait_until_regions_are_known(&env);
     for engine in env.testbed.engines_in("stred") {
         engine.standin.set_leaving(true);
     }
     let mut caller = env.caller("stred");
-    for (name, value) in FORGED {
+    for (name, value) in FORGED_HEADERS {
         caller = caller.with_header(name, value);
     }
 
-    let answer = caller.chat("forged", 8).expect("the host must answer");
+    let response = caller.chat("forged", 8).expect("the host must answer");
 
-    assert_eq!(answer.status, 200, "not forwarded:\n{}", env.logs());
-    let id = answer.headers.get("x-request-id").unwrap_or_default();
-    let forged = FORGED[0].1;
+    assert_eq!(response.status, 200, "not forwarded:\n{}", env.logs());
+    let id = response.headers.get("x-request-id").unwrap_or_default();
+    let forged = FORGED_HEADERS[0].1;
     assert!(!id.is_empty() && id != forged);
-    let runs = runs(&env);
+    let runs = run_counts(&env);
     assert_eq!(runs.get(id), Some(&1), "{runs:?}");
     assert_eq!(runs.get(forged), None, "{runs:?}");
 }
@@ -329,7 +333,7 @@
         prompt_tokens: Tokens(10),
         max_output_tokens: Tokens(4),
         prefix_hashes: Vec::new(),
-        deadline_ms: clock::now() + Millis(EXCHANGE.as_millis() as u64),
+        deadline_ms: clock::now() + Millis(EXCHANGE_TIMEOUT.as_millis() as u64),
         is_repeatable: true,
         origin_region: "stred".parse().expect("valid region"),
         origin_host: origin_host.parse().expect("valid host"),
@@ -344,13 +348,13 @@
 
 fn link(address: SocketAddr, key: &str, own: &PeerIdentity) -> Result<Link, LinkError> {
     let stream = TcpStream::connect(address).expect("the host must accept");
-    let deadline = Instant::now() + EXCHANGE;
+    let deadline = Instant::now() + EXCHANGE_TIMEOUT;
     Link::connect(stream, &ClusterKey::new(key.as_bytes()), own, deadline)
 }
 
 /// Sends a forward and reads frames up to the final one.
 fn exchange(link: &mut Link, frame: &Frame, body: &[u8]) -> Result<Message, LinkError> {
-    let deadline = Instant::now() + EXCHANGE;
+    let deadline = Instant::now() + EXCHANGE_TIMEOUT;
     link.write_exchange_frame(1, frame, &[], deadline)
         .map_err(|failed| failed.error)?;
     link.write_exchange_frame(1, &Frame::RequestBody, body, deadline)
@@ -363,18 +367,19 @@
     }
 }
 
-/// Passes one connection on to `target`; returns what the connecting side sent.
-fn record(target: SocketAddr) -> (SocketAddr, thread::JoinHandle<Vec<u8>>) {
+/// Proxies one connection to `target`; returns the address of the proxy and the
+/// thread that yields the bytes that the client sent.
+fn record_connection(target: SocketAddr) -> (SocketAddr, thread::JoinHandle<Vec<u8>>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
     let recorder = thread::spawn(move || {
         let (mut caller, _) = listener.accept().expect("a connection");
         let mut host = TcpStream::connect(target).expect("the host must accept");
-        let (mut answers, mut back) = (
+        let (mut host_output, mut caller_input) = (
             host.try_clone().expect("a socket"),
             caller.try_clone().expect("a socket"),
         );
-        let answering = thread::spawn(move || io::copy(&mut answers, &mut back));
+        let copy_thread = thread::spawn(move || io::copy(&mut host_output, &mut caller_input));
         let mut recorded = Vec::new();
         let mut buffer = [0; 4_096];
         while let Ok(count @ 1..) = caller.read(&mut buffer) {
@@ -383,50 +388,57 @@
                 break;
             }
         }
-        // The host may have closed its end already.
+        // The host may already have closed the connection.
         let _ = host.shutdown(Shutdown::Both);
-        let _ = answering.join();
+        let _ = copy_thread.join();
         recorded
     });
     (address, recorder)
 }
 
-/// How often engines received a request with this id.
-fn times_seen(env: &TestEnv, request: u128) -> usize {
+/// Returns how often engines received a request with this id.
+fn received_count(env: &TestEnv, request: u128) -> usize {
     let id = RequestId(request).to_string();
     let engines = env.testbed.engines.iter();
     let seen = engines.flat_map(|engine| engine.standin.seen());
     seen.filter(|seen| seen.id == id).count()
 }
 
-/// Guards against a forward that someone on the network sends again or makes up.
+/// Guards against forwards from outside the cluster or with a false origin: a
+/// replay of recorded bytes, a wrong key, or the name of another host.
 #[test]
-fn a_replayed_or_forged_forward_is_refused() {
+fn replayed_or_forged_forward_is_refused() {
     let env = TestEnv::start(&TestbedOptions::new());
     wait_until_regions_are_known(&env);
     let seat = env.testbed.seats_in("zapad").next().expect("a host");
     let address = seat.config.peer_address;
     let own = identity("stred-9");
     let body = chat_body("replayed", 4, false);
-    let (recording, recorder) = record(address);
-    let mut good = link(recording, CLUSTER_KEY, &own).expect("the key is right");
-    let answer = exchange(&mut good, &forward("stred-9", 1, &body), &body);
-    assert!(matches!(answer, Ok(message) if matches!(message.frame, Frame::ResponseEnd { .. })));
-    drop(good);
+    let (recording, recorder) = record_connection(address);
+    let mut valid_link = link(recording, CLUSTER_KEY, &own).expect("the key is right");
+    let response = exchange(&mut valid_link, &forward("stred-9", 1, &body), &body);
+    assert!(matches!(response, Ok(message) if matches!(message.frame, Frame::ResponseEnd { .. })));
+    drop(valid_link);
     let recorded = recorder.join().expect("the recorder must not panic");
 
     let mut replay = TcpStream::connect(address).expect("the host must accept");
-    // The host closes the connection in the middle of this.
+    // The host may close the connection before all bytes are written.
     let _ = replay.write_all(&recorded);
-    let _ = replay.set_read_timeout(Some(EXCHANGE));
-    let mut answered = Vec::new();
-    let _ = replay.read_to_end(&mut answered);
-    let stranger = link(address, "another key of a cluster", &own);
-    let mut liar = link(address, CLUSTER_KEY, &own).expect("the key is right");
-    let lied = exchange(&mut liar, &forward("stred-1", 2, &body), &body);
-
-    assert_eq!(times_seen(&env, 1), 1, "the replay ran");
-    assert!(stranger.is_err(), "a host without the key was let in");
-    assert!(lied.is_err(), "a forward for another host was taken");
-    assert_eq!(times_seen(&env, 2), 0, "the forged forward ran");
+    let _ = replay.set_read_timeout(Some(EXCHANGE_TIMEOUT));
+    let mut replay_response = Vec::new();
+    let _ = replay.read_to_end(&mut replay_response);
+    let wrong_key_link = link(address, "another key of a cluster", &own);
+    let mut forging_link = link(address, CLUSTER_KEY, &own).expect("the key is right");
+    let forged_response = exchange(&mut forging_link, &forward("stred-1", 2, &body), &body);
+
+    assert_eq!(received_count(&env, 1), 1, "the replay ran");
+    assert!(
+        wrong_key_link.is_err(),
+        "a host without the cluster key was accepted"
+    );
+    assert!(
+        forged_response.is_err(),
+        "a forward in the name of another host was accepted"
+    );
+    assert_eq!(received_count(&env, 2), 0, "the forged forward ran");
 }
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -1,8 +1,8 @@
-//! Promise `whole_answer`: every caller gets the whole answer to its own
-//! request, or is told that it is not whole.
+//! Guarantee `whole_answer`: every caller receives the complete response to its
+//! own request, or can see that the response is incomplete.
 //!
-//! The engines derive each answer from its prompt, so every byte is known. All
-//! prompts differ, so an answer that reaches the wrong caller is seen as well.
+//! The engines derive each response from its prompt, so every byte is known. All
+//! prompts differ, so a response that reaches the wrong caller is seen as well.
 
 mod testenv;
 
@@ -59,18 +59,18 @@
     wait_for, //
 };
 
-/// Longest wait for something that the hosts do within seconds.
-const SOON: Duration = Duration::from_secs(10);
-/// Bound for the work of a caller that has gone.
-const CANCEL_BOUND: Duration = Duration::from_secs(2);
-/// Tokens of each answer.
-const TOKENS: usize = 24;
-/// Callers that call at the same time.
-const CALLERS: usize = 24;
+/// Longest wait for an effect that takes the hosts seconds at most.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
+/// Longest time for which work may continue after its caller disconnects.
+const CANCEL_LIMIT: Duration = Duration::from_secs(2);
+/// Tokens of each response.
+const RESPONSE_TOKENS: usize = 24;
+/// Number of concurrent callers.
+const CONCURRENT_CALLERS: usize = 24;
 /// How long faults are injected under load.
-const LOAD_SPAN: Duration = Duration::from_secs(6);
-/// Deadline of the calls under load, below the time after which a host takes a
-/// stream for stalled.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+/// Deadline of the calls under load, below the time after which a host considers
+/// a stream stalled.
 const LOAD_DEADLINE_MS: &str = "2000";
 /// Regions of the testbed.
 const REGIONS: [&str; 3] = ["stred", "zapad", "sever"];
@@ -86,7 +86,7 @@
 }
 
 /// Engines that take about 20 ms for each token.
-fn slow() -> TestbedOptions {
+fn slow_engines() -> TestbedOptions {
     let speed = ModelOptions {
         step: Duration::from_millis(20),
         ..ModelOptions::default()
@@ -95,28 +95,31 @@
 }
 
 fn expected(prompt: &str) -> String {
-    expected_text(prompt, TOKENS)
+    expected_text(prompt, RESPONSE_TOKENS)
 }
 
 fn stream(caller: &Caller, prompt: &str) -> StreamAnswer {
-    let answer = caller.stream(prompt, TOKENS as u64);
-    answer.expect("the host must answer")
+    let response = caller.stream(prompt, RESPONSE_TOKENS as u64);
+    response.expect("the host must answer")
 }
 
-/// Asserts that a stream is a part of the right answer, and the whole of it if
-/// it looks complete.
-fn assert_honest(answer: &StreamAnswer, prompt: &str) {
+/// Asserts that a stream is a prefix of the expected response, and all of it if it
+/// is marked as complete.
+fn assert_correct_stream(response: &StreamAnswer, prompt: &str) {
     let expected = expected(prompt);
-    assert!(expected.starts_with(&answer.text), "{prompt}: {answer:?}");
-    if answer.status != 200 {
-        assert!(answer.error.is_some(), "{prompt}: {answer:?}");
+    assert!(
+        expected.starts_with(&response.text),
+        "{prompt}: {response:?}"
+    );
+    if response.status != 200 {
+        assert!(response.error.is_some(), "{prompt}: {response:?}");
         return;
     }
-    let is_whole = answer.text == expected;
-    assert!(is_whole || !answer.has_done, "{prompt}: {answer:?}");
+    let is_complete = response.text == expected;
+    assert!(is_complete || !response.has_done, "{prompt}: {response:?}");
     assert_eq!(
-        answer.has_done, answer.has_proper_end,
-        "{prompt}: {answer:?}"
+        response.has_done, response.has_proper_end,
+        "{prompt}: {response:?}"
     );
 }
 
@@ -132,18 +135,18 @@
     }
 }
 
-fn all_seen(env: &TestEnv) -> Vec<SeenRequest> {
+fn received_requests(env: &TestEnv) -> Vec<SeenRequest> {
     let engines = env.testbed.engines.iter();
     engines.flat_map(|engine| engine.standin.seen()).collect()
 }
 
 /// Guards against lost or repeated tokens when a stream resumes at another
-/// engine, and against a broken plain answer that is passed on.
+/// engine, and against a truncated response without streaming that is relayed.
 #[test]
-fn an_answer_that_breaks_at_one_engine_still_comes_whole() {
+fn response_is_complete_after_a_fault_at_one_engine() {
     let mut session = String::new();
-    // Each group has hosts of its own, because a host retries at most ten
-    // requests in a burst.
+    // Each group has its own hosts, because a host retries at most ten requests
+    // in a burst.
     for faults in [
         [
             EngineFault::CutAfter(0),
@@ -161,7 +164,7 @@
     ] {
         let env = env();
         for fault in faults {
-            session += &stream_past(&env, *fault);
+            session += &stream_with_fault_at_each_engine(&env, *fault);
         }
     }
     let env = env();
@@ -173,10 +176,10 @@
     ] {
         fail_next(&env, fault);
         let prompt = format!("plain {fault:?}");
-        let answer = caller.chat(&prompt, TOKENS as u64);
-        let answer = answer.expect("the host must answer");
-        let is_whole = answer.text() == expected(&prompt);
-        session += &format!("plain {fault:?}: {} whole={is_whole}\n", answer.status);
+        let response = caller.chat(&prompt, RESPONSE_TOKENS as u64);
+        let response = response.expect("the host must answer");
+        let is_complete = response.text() == expected(&prompt);
+        session += &format!("plain {fault:?}: {} whole={is_complete}\n", response.status);
     }
 
     expect![[r#"
@@ -201,9 +204,9 @@
     .assert_eq(&session);
 }
 
-/// Streams past a fault at each engine of the region in turn; the other one is
-/// healthy.
-fn stream_past(env: &TestEnv, fault: EngineFault) -> String {
+/// Requests one stream for each engine of the region with a fault at that engine;
+/// the other engine is healthy.
+fn stream_with_fault_at_each_engine(env: &TestEnv, fault: EngineFault) -> String {
     let caller = env.caller("stred");
     let mut lines = String::new();
     for engine in env.testbed.engines_in("stred") {
@@ -211,20 +214,20 @@
         engine.standin.set_fault(Some(fault));
         let prompt = format!("stream {fault:?} at {}", engine.info.id);
 
-        let answer = stream(&caller, &prompt);
+        let response = stream(&caller, &prompt);
 
-        assert_honest(&answer, &prompt);
-        let is_whole = answer.text == expected(&prompt) && answer.has_done;
-        lines += &format!("{prompt}: whole={is_whole}\n");
+        assert_correct_stream(&response, &prompt);
+        let is_complete = response.text == expected(&prompt) && response.has_done;
+        lines += &format!("{prompt}: whole={is_complete}\n");
     }
     set_fault(env, "stred", None);
     lines
 }
 
-/// Guards against a stream that looks complete, or a second answer within the
-/// first, when no engine can bring it to its end.
+/// Guards against a stream that is marked as complete, or contains a second
+/// response, although no engine can complete it.
 #[test]
-fn a_stream_that_no_engine_ends_is_told_as_partial() {
+fn stream_that_no_engine_completes_is_reported_as_partial() {
     let env = env();
     let caller = env.caller("stred");
     for (then, name) in [
@@ -238,20 +241,20 @@
         }
         let prompt = format!("partial {name}");
 
-        let answer = stream(&caller, &prompt);
+        let response = stream(&caller, &prompt);
 
-        assert_honest(&answer, &prompt);
-        assert!(!answer.text.is_empty(), "{name}");
-        assert!(!answer.has_done && !answer.has_proper_end, "{name}");
-        let error = answer.error.unwrap_or_default();
+        assert_correct_stream(&response, &prompt);
+        assert!(!response.text.is_empty(), "{name}");
+        assert!(!response.has_done && !response.has_proper_end, "{name}");
+        let error = response.error.unwrap_or_default();
         assert_eq!(error["error"]["run_state"], "partial", "{name}");
     }
 }
 
 /// Guards against a continued stream whose second engine ignores the
-/// continuation and answers from the start.
+/// continuation and generates the response from the start.
 #[test]
-fn a_stream_is_not_continued_by_an_engine_that_starts_again() {
+fn stream_is_not_continued_by_an_engine_that_restarts_it() {
     let env = env();
     let engines: Vec<EngineStandin> = env
         .testbed
@@ -260,17 +263,17 @@
         .collect();
     let caller = env.caller("stred");
     let is_listed = || {
-        let answer = caller.chat("probe", 1);
-        answer.is_ok() && engines.iter().any(|engine| !engine.seen().is_empty())
+        let response = caller.chat("probe", 1);
+        response.is_ok() && engines.iter().any(|engine| !engine.seen().is_empty())
     };
-    wait_for(SOON, "the hosts read the list", is_listed);
+    wait_for(WAIT_LIMIT, "the hosts read the list", is_listed);
     for engine in &engines {
         engine.fail_next(EngineFault::CutAfter(5));
     }
 
-    let answer = stream(&caller, "continued");
+    let response = stream(&caller, "continued");
 
-    assert_honest(&answer, "continued");
+    assert_correct_stream(&response, "continued");
 }
 
 fn replace_without_continuation(env: &TestEnv, listed: &Engine) -> EngineStandin {
@@ -286,66 +289,73 @@
     engine
 }
 
-/// Guards against crossed answers and answers that look complete without being
-/// whole, under load with faults at the engines and between the hosts.
+/// Guards against responses to the wrong caller and incomplete responses that are
+/// marked as complete, under load with faults at the engines and between hosts.
 #[test]
-fn every_answer_under_load_and_faults_is_whole_or_told_as_broken() {
+fn every_response_under_load_and_faults_is_complete_or_reported_as_incomplete() {
     let seed = seed();
     println!("CARDAMOMBRIDGE_SEED={seed}");
     let env = forwarding_env(&TestbedOptions::new());
-    let until = Instant::now() + LOAD_SPAN;
-    let callers: Vec<_> = (0..CALLERS)
+    let until = Instant::now() + LOAD_DURATION;
+    let callers: Vec<_> = (0..CONCURRENT_CALLERS)
         .map(|number| {
             let caller = env.caller(REGIONS[number % REGIONS.len()]);
             let caller = caller.with_header("x-deadline-ms", LOAD_DEADLINE_MS);
-            thread::spawn(move || call_until(&caller, number, until))
+            thread::spawn(move || send_requests_until(&caller, number, until))
         })
         .collect();
 
     inject_faults(&env, &mut Pcg64Mcg::seed_from_u64(seed), until);
     let counts: Vec<Counts> = callers
         .into_iter()
-        .map(|caller| caller.join().expect("every answer must be right"))
+        .map(|caller| caller.join().expect("every response must be correct"))
         .collect();
 
-    let whole: usize = counts.iter().map(|one| one.whole).sum();
-    let broken: usize = counts.iter().map(|one| one.broken).sum();
-    println!("whole={whole} broken={broken}");
-    assert!(whole > CALLERS, "only {whole} whole answers, seed {seed}");
-    assert!(broken > 0, "no fault reached a caller, seed {seed}");
-    let attempts = all_seen(&env).len();
-    assert!(attempts > whole, "nothing was tried again, seed {seed}");
+    let complete: usize = counts.iter().map(|one| one.complete).sum();
+    let incomplete: usize = counts.iter().map(|one| one.incomplete).sum();
+    println!("complete={complete} incomplete={incomplete}");
+    assert!(
+        complete > CONCURRENT_CALLERS,
+        "only {complete} complete responses, seed {seed}"
+    );
+    assert!(incomplete > 0, "no fault reached a caller, seed {seed}");
+    let attempts = received_requests(&env).len();
+    assert!(attempts > complete, "no request was retried, seed {seed}");
 }
 
 #[derive(Debug, Default)]
 struct Counts {
-    whole: usize,
-    broken: usize,
+    complete: usize,
+    incomplete: usize,
 }
 
-/// Asks for streams and plain answers in turn and checks every byte.
-fn call_until(caller: &Caller, number: usize, until: Instant) -> Counts {
+/// Requests streamed and other responses in turn and checks every byte.
+fn send_requests_until(caller: &Caller, number: usize, until: Instant) -> Counts {
     let mut counts = Counts::default();
     let mut turn = 0;
     while Instant::now() < until {
         turn += 1;
         let prompt = format!("caller {number} turn {turn}");
-        let is_whole = match turn % 2 {
-            0 => caller.stream(&prompt, TOKENS as u64).is_ok_and(|answer| {
-                assert_honest(&answer, &prompt);
-                answer.has_done
-            }),
-            _ => caller.chat(&prompt, TOKENS as u64).is_ok_and(|answer| {
-                let is_whole = answer.status == 200;
-                if is_whole {
-                    assert_eq!(answer.text(), expected(&prompt));
-                }
-                is_whole
-            }),
+        let is_complete = match turn % 2 {
+            0 => caller
+                .stream(&prompt, RESPONSE_TOKENS as u64)
+                .is_ok_and(|response| {
+                    assert_correct_stream(&response, &prompt);
+                    response.has_done
+                }),
+            _ => caller
+                .chat(&prompt, RESPONSE_TOKENS as u64)
+                .is_ok_and(|response| {
+                    let is_complete = response.status == 200;
+                    if is_complete {
+                        assert_eq!(response.text(), expected(&prompt));
+                    }
+                    is_complete
+                }),
         };
-        counts.whole += usize::from(is_whole);
-        counts.broken += usize::from(!is_whole);
-        if !is_whole {
+        counts.complete += usize::from(is_complete);
+        counts.incomplete += usize::from(!is_complete);
+        if !is_complete {
             thread::sleep(Duration::from_millis(50));
         }
     }
@@ -361,10 +371,10 @@
     })
 }
 
-/// Makes single requests fail at random engines, and changes the fault of one
-/// wire every few hundred milliseconds.
+/// Makes single requests fail at random engines, and changes the fault between
+/// hosts every few hundred milliseconds.
 ///
-/// A fault that stays at one engine would soon reach nobody, because the hosts
+/// A permanent fault at one engine would soon affect no request, because the hosts
 /// avoid an engine that fails.
 fn inject_faults(env: &TestEnv, rng: &mut Pcg64Mcg, until: Instant) {
     while Instant::now() < until {
@@ -389,7 +399,7 @@
 }
 
 fn draw_fault(rng: &mut Pcg64Mcg) -> EngineFault {
-    let after = rng.random_range(0..TOKENS);
+    let after = rng.random_range(0..RESPONSE_TOKENS);
     match rng.random_range(0..6) {
         0 => EngineFault::CutAfter(after),
         1 => EngineFault::StallAfter(after),
@@ -400,41 +410,41 @@
     }
 }
 
-/// An environment whose region zapad has no engines of its own, so that its
-/// host forwards.
+/// Starts an environment whose region zapad has no engines, so that its host
+/// forwards requests.
 fn forwarding_env(options: &TestbedOptions) -> TestEnv {
     let env = start(options);
     let list = env.testbed.list();
     for engine in env.testbed.engines_in("zapad") {
         engine.standin.set_leaving(true);
         let removed = list.deregister(engine.info.id.as_str());
-        removed.expect("the engine must leave the list");
+        removed.expect("the engine must be deregistered");
     }
     let caller = env.caller("zapad");
     let is_forwarded = || {
-        let told = caller.chat("probe", 1);
-        told.is_ok_and(|told| told.status == 200)
+        let response = caller.chat("probe", 1);
+        response.is_ok_and(|response| response.status == 200)
     };
-    wait_for(SOON, "zapad forwards", is_forwarded);
+    wait_for(WAIT_LIMIT, "zapad forwards", is_forwarded);
     env
 }
 
-/// Wires to the hosts that zapad can forward to.
-fn set_held(env: &TestEnv, is_held: bool) {
+/// Holds back or releases the responses of all hosts to other hosts.
+fn hold_host_responses(env: &TestEnv, is_held: bool) {
     for seat in &env.testbed.seats {
         let flow = if is_held { Flow::Hold } else { Flow::Pass };
         seat.peer_wire.set_flow(Direction::ToCaller, flow);
     }
 }
 
-/// A stream of zapad that is cut off after five tokens from the region that
-/// serves it, and how many attempts reached an engine.
-fn stream_and_cut(env: &mut TestEnv, turn: usize) -> (StreamAnswer, usize) {
+/// Requests a stream in zapad and disconnects zapad from the serving region after
+/// five tokens. Returns the response and how many attempts reached an engine.
+fn interrupt_forwarded_stream(env: &mut TestEnv, turn: usize) -> (StreamAnswer, usize) {
     let caller = env.caller("zapad");
     let prompt = format!("forwarded {turn}");
-    let before = all_seen(env).len();
+    let before = received_requests(env).len();
 
-    let answer = caller.stream_with(&prompt, TOKENS as u64, |pieces| {
+    let response = caller.stream_with(&prompt, RESPONSE_TOKENS as u64, |pieces| {
         if pieces == 5 {
             let serving = serving_region(env);
             env.testbed.set_cut_between("zapad", serving, true);
@@ -444,12 +454,12 @@
         env.testbed.set_cut_between("zapad", region, false);
     }
 
-    let answer = answer.expect("the host must answer");
-    assert_honest(&answer, &prompt);
-    (answer, all_seen(env).len() - before)
+    let response = response.expect("the host must answer");
+    assert_correct_stream(&response, &prompt);
+    (response, received_requests(env).len() - before)
 }
 
-/// The region in which an engine runs a request.
+/// Returns the region in which an engine runs a request.
 fn serving_region(env: &TestEnv) -> &'static str {
     let runs = |region: &&&str| {
         let mut engines = env.testbed.engines_in(region);
@@ -461,89 +471,92 @@
         .expect("an engine must run the stream")
 }
 
-/// Guards against lost or repeated tokens when the way between two hosts breaks
-/// in the middle of a stream.
+/// Guards against lost or repeated tokens when the connection between two hosts
+/// fails during a stream.
 #[test]
-fn a_forwarded_stream_that_is_cut_is_whole_or_told_as_partial() {
-    let mut env = forwarding_env(&slow());
-    let until = Instant::now() + SOON;
-    let mut broken = 0;
+fn interrupted_forwarded_stream_is_complete_or_reported_as_partial() {
+    let mut env = forwarding_env(&slow_engines());
+    let until = Instant::now() + WAIT_LIMIT;
+    let mut incomplete = 0;
     for turn in 0.. {
-        let (answer, attempts) = stream_and_cut(&mut env, turn);
-        if !answer.has_done && answer.status == 200 {
-            let error = answer.error.expect("the caller must be told");
+        let (response, attempts) = interrupt_forwarded_stream(&mut env, turn);
+        if !response.has_done && response.status == 200 {
+            let error = response.error.expect("the stream must end with an error");
             assert_eq!(error["error"]["run_state"], "partial");
         }
-        let is_cut = !answer.has_done || attempts > 1;
-        broken += usize::from(is_cut && !answer.text.is_empty());
-        if broken == 3 {
+        let is_cut = !response.has_done || attempts > 1;
+        incomplete += usize::from(is_cut && !response.text.is_empty());
+        if incomplete == 3 {
             break;
         }
-        assert!(Instant::now() < until, "{broken} cuts met a stream");
+        assert!(
+            Instant::now() < until,
+            "{incomplete} streams were interrupted"
+        );
     }
 }
 
-/// Guards against a stream that is continued in a third region: a request
-/// crosses between regions at most once, whatever became of it there.
+/// Guards against a stream that is continued in a third region: a request is
+/// forwarded between regions at most once, whatever its outcome there.
 #[test]
-fn a_forwarded_stream_that_is_cut_goes_to_no_third_region() {
-    let mut env = forwarding_env(&slow());
-    let until = Instant::now() + SOON;
+fn interrupted_forwarded_stream_is_not_continued_in_a_third_region() {
+    let mut env = forwarding_env(&slow_engines());
+    let until = Instant::now() + WAIT_LIMIT;
     for turn in 0.. {
-        let before = REGIONS.map(|region| seen_in(&env, region));
+        let before = REGIONS.map(|region| received_count(&env, region));
 
-        let (answer, _) = stream_and_cut(&mut env, turn);
+        let (response, _) = interrupt_forwarded_stream(&mut env, turn);
 
-        let after = REGIONS.map(|region| seen_in(&env, region));
+        let after = REGIONS.map(|region| received_count(&env, region));
         let reached = (0..REGIONS.len()).filter(|at| after[*at] > before[*at]);
         let reached: Vec<&str> = reached.map(|at| REGIONS[at]).collect();
         assert!(reached.len() <= 1, "one request reached {reached:?}");
-        if !answer.has_done && !answer.text.is_empty() {
+        if !response.has_done && !response.text.is_empty() {
             break;
         }
-        assert!(Instant::now() < until, "no cut met a stream");
+        assert!(Instant::now() < until, "no stream was interrupted");
     }
 }
 
-fn seen_in(env: &TestEnv, region: &str) -> usize {
+fn received_count(env: &TestEnv, region: &str) -> usize {
     let engines = env.testbed.engines_in(region);
     engines.map(|engine| engine.standin.seen().len()).sum()
 }
 
-/// Guards against a late answer that reaches the next request on the same
+/// Guards against a late response that is relayed to the next request on the same
 /// connection between two hosts.
 #[test]
-fn a_late_answer_of_another_host_reaches_nobody_else() {
-    let env = forwarding_env(&slow());
+fn late_response_of_another_host_is_not_sent_to_another_request() {
+    let env = forwarding_env(&slow_engines());
     let caller = env.caller("zapad");
     let hurried = caller.clone().with_header("x-deadline-ms", "400");
 
-    set_held(&env, true);
-    let late = hurried.chat("late", TOKENS as u64);
-    let late_stream = hurried.stream("late stream", TOKENS as u64);
-    set_held(&env, false);
-    let answers: Vec<_> = (0..6)
-        .map(|turn| caller.chat(&format!("next {turn}"), TOKENS as u64))
+    hold_host_responses(&env, true);
+    let late = hurried.chat("late", RESPONSE_TOKENS as u64);
+    let late_stream = hurried.stream("late stream", RESPONSE_TOKENS as u64);
+    hold_host_responses(&env, false);
+    let responses: Vec<_> = (0..6)
+        .map(|turn| caller.chat(&format!("next {turn}"), RESPONSE_TOKENS as u64))
         .collect();
 
     let late = late.expect("the host must answer");
     assert_ne!(late.status, 200, "{late:?}");
     assert!(!late_stream.expect("the host must answer").has_done);
-    for (turn, answer) in answers.into_iter().enumerate() {
-        let answer = answer.expect("the host must answer");
-        if answer.status == 200 {
-            assert_eq!(answer.text(), expected(&format!("next {turn}")));
+    for (turn, response) in responses.into_iter().enumerate() {
+        let response = response.expect("the host must answer");
+        if response.status == 200 {
+            assert_eq!(response.text(), expected(&format!("next {turn}")));
         }
     }
-    let is_back = || {
-        let answer = caller.chat("back", TOKENS as u64);
-        answer.is_ok_and(|answer| answer.text() == expected("back"))
+    let has_recovered = || {
+        let response = caller.chat("back", RESPONSE_TOKENS as u64);
+        response.is_ok_and(|response| response.text() == expected("back"))
     };
-    wait_for(SOON, "answers come again", is_back);
+    wait_for(WAIT_LIMIT, "responses are complete again", has_recovered);
 }
 
 /// Starts a call and returns its open connection.
-fn begin(
+fn start_call(
     address: SocketAddr,
     prompt: &str,
     is_stream: bool,
@@ -555,30 +568,31 @@
         headers,
         body: chat_body(prompt, 500, is_stream),
     };
-    let connection = client::connect(address, SOON);
-    let mut connection = connection.expect("the host must take the connection");
-    client::send(&mut connection, &call, Instant::now() + SOON).expect("the call must be sent");
+    let connection = client::connect(address, WAIT_LIMIT);
+    let mut connection = connection.expect("the host must accept the connection");
+    client::send(&mut connection, &call, Instant::now() + WAIT_LIMIT)
+        .expect("the call must be sent");
     connection
 }
 
-/// Guards against engines that go on working for callers who have gone, for
-/// plain answers and streams, at home and behind another host.
+/// Guards against engines that continue requests of disconnected callers, streamed
+/// or not, in the local region and through another host.
 #[test]
-fn work_of_a_caller_that_has_gone_is_cancelled() {
-    let env = forwarding_env(&slow());
+fn work_for_a_disconnected_caller_is_cancelled() {
+    let env = forwarding_env(&slow_engines());
     for region in ["stred", "zapad"] {
         for is_stream in [false, true] {
-            let before = all_seen(&env).len();
+            let before = received_requests(&env).len();
             let address = env.host(region).address;
-            let connection = begin(address, &format!("{region} {is_stream}"), is_stream);
+            let connection = start_call(address, &format!("{region} {is_stream}"), is_stream);
             let is_running = || {
-                let seen = all_seen(&env);
+                let seen = received_requests(&env);
                 seen.len() > before
                     && seen
                         .iter()
                         .any(|one| !one.is_cancelled && one.generated.0 > 1)
             };
-            wait_for(SOON, "the request runs", is_running);
+            wait_for(WAIT_LIMIT, "the request runs", is_running);
 
             drop(connection);
 
@@ -586,11 +600,17 @@
                 let mut engines = env.testbed.engines.iter();
                 engines.all(|engine| engine.standin.load().running == 0)
             };
-            wait_for(CANCEL_BOUND, "the work is cancelled", is_idle);
-            let cancelled = all_seen(&env).iter().filter(|one| one.is_cancelled).count();
+            wait_for(CANCEL_LIMIT, "the work is cancelled", is_idle);
+            let cancelled = received_requests(&env)
+                .iter()
+                .filter(|one| one.is_cancelled)
+                .count();
             assert!(cancelled > 0, "{region} {is_stream}");
         }
     }
-    let cancelled = all_seen(&env).iter().filter(|one| one.is_cancelled).count();
+    let cancelled = received_requests(&env)
+        .iter()
+        .filter(|one| one.is_cancelled)
+        .count();
     assert_eq!(cancelled, 4);
 }
