--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -316,9 +316,7 @@
             let host = &successor.instance.host;
             match handover.finish(&successor) {
                 true => tracing::info!(%host, "ticket table handed over to the successor"),
-                false => {
-                    tracing::warn!(%host, "ticket table handover failed; the states of its tickets may be unknown")
-                }
+                false => tracing::warn!(%host, "ticket handover failed; ticket state is uncertain"),
             }
         }
         unfinished
--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -108,7 +108,9 @@
     exchange: &mut ServerExchange<'_>,
 ) -> Result<(), LinkError> {
     let report = context.recorder.report();
-    let report = report.ok_or(LinkError::Unexpected("the recorder is too busy"))?;
+    let report = report.ok_or(LinkError::Unexpected(
+        "the recorder did not return a burn report in time",
+    ))?;
     let bytes = report.encode().map_err(|_| LinkError::Malformed)?;
     exchange.finish(&Frame::BurnReport, &bytes, response_deadline())
 }
@@ -180,13 +182,17 @@
 ) -> Result<(), LinkError> {
     let _open = OpenRequestGuard::new(&context.open_requests);
     let Some(requester) = ticket_caller(context, &head.caller, Some(&head.allowed)) else {
-        return Err(LinkError::Unexpected("the caller is not known here"));
+        return Err(LinkError::Unexpected(
+            "the caller is not in the configuration of this host",
+        ));
     };
     let body = exchange.read_body(Instant::now() + BODY_TIMEOUT)?;
     let path = format_compact!("/v1/services/{}{}", service_name(&head.target), head.path);
     let digest = CallDigest::new(&head.method, &path, &body);
     let Some(mut relayed) = decode_request(head, body) else {
-        return Err(LinkError::Unexpected("the call is not valid"));
+        return Err(LinkError::Unexpected(
+            "the forwarded call could not be decoded",
+        ));
     };
     // The owner of the ticket charges the call that it runs to its own budget
     // grant.
@@ -211,7 +217,9 @@
     request: TicketRequest,
 ) -> Result<(), LinkError> {
     let Some(requester) = ticket_caller(context, caller, None) else {
-        return Err(LinkError::Unexpected("the caller is not known here"));
+        return Err(LinkError::Unexpected(
+            "the caller is not in the configuration of this host",
+        ));
     };
     let response = context.tickets.serve_forwarded(ticket, &requester, request);
     send_ticket_response(exchange, &response)
@@ -248,7 +256,9 @@
 ) -> Result<(), LinkError> {
     let body = exchange.read_body(Instant::now() + BODY_TIMEOUT)?;
     if !context.tickets.import(&body) {
-        return Err(LinkError::Unexpected("the ticket table is not taken over"));
+        return Err(LinkError::Unexpected(
+            "the ticket table could not be imported",
+        ));
     }
     exchange.finish(&Frame::Ack, &[], response_deadline())
 }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -107,7 +107,7 @@
         })?;
         self.claim.mark_sent();
         Upstream::send(connection, &self.call(), self.deadline).map_err(|error| {
-            tracing::debug!(%request, %address, %error, "could not send the request to the endpoint");
+            tracing::debug!(%request, %address, %error, "could not send the whole request to the endpoint; it may have run");
             self.interrupted()
         })
     }
@@ -143,7 +143,7 @@
                 (Claim::Unsent(unsent), Err(AttemptOutcome::NotSent))
             }
             Err(SendError::PartlySent { sent, error }) => {
-                tracing::debug!(%request, %host, %error, "connection to the host failed after part of the request was sent");
+                tracing::debug!(%request, %host, %error, "could not send the whole request to the host; it may have run");
                 (Claim::Sent(sent), Err(self.interrupted()))
             }
         };
