--- a/src/peer_requests.rs
+++ b/src/peer_requests.rs
@@ -46,9 +46,9 @@
     relay::{
         self,
         Exchange,
-        ExchangeOutcome, //
+        ExchangeOutcome,
         Payload,
-        RelayContext,
+        RelayContext, //
     },
     sink::ResponseSink,
     ticket::call::CallDigest,
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -47,9 +47,9 @@
     upstream::{
         self,
         ReadError,
-        Upstream, //
+        Upstream,
         UpstreamHead,
-        UpstreamReply,
+        UpstreamReply, //
     }, //
 };
 
--- a/src/relay/response.rs
+++ b/src/relay/response.rs
@@ -8,8 +8,8 @@
 use super::{
     CALLER_POLL_INTERVAL,
     Payload,
-    Relay, //
-    RelayError,
+    Relay,
+    RelayError, //
 };
 use crate::{
     decision::event::{
@@ -28,8 +28,8 @@
     },
     upstream::{
         ReadError,
-        Upstream, //
-        UpstreamHead,
+        Upstream,
+        UpstreamHead, //
     }, //
 };
 
--- a/src/ticket/route.rs
+++ b/src/ticket/route.rs
@@ -9,8 +9,8 @@
     },
     token::{
         HostInstance,
-        Ticket, //
-        TicketOwner,
+        Ticket,
+        TicketOwner, //
     }, //
 };
 use crate::{
--- a/src/ticket/table.rs
+++ b/src/ticket/table.rs
@@ -38,8 +38,8 @@
         HostInstance,
         Ticket,
         TicketBody,
-        TicketId, //
-        TicketOwner,
+        TicketId,
+        TicketOwner, //
     }, //
 };
 use crate::{
--- a/src/ticketed_calls.rs
+++ b/src/ticketed_calls.rs
@@ -43,8 +43,8 @@
     relay::{
         self,
         Exchange,
-        ExchangeOutcome, //
-        RelayContext,
+        ExchangeOutcome,
+        RelayContext, //
     },
     sink::ResponseSink,
     ticket::{
@@ -76,8 +76,8 @@
             TicketError,
             TicketId,
             TicketOwner,
-            TicketSigner, //
-            VerifyContext,
+            TicketSigner,
+            VerifyContext, //
         }, //
     },
     ticket_thread::TicketTableHandle,
--- a/tests/ticket_interleavings.rs
+++ b/tests/ticket_interleavings.rs
@@ -30,8 +30,8 @@
             KeptResponse, //
         },
         handover::{
-            Handover, //
-            HandoverState,
+            Handover,
+            HandoverState, //
         },
         refusal::{
             TicketRefusal,
@@ -54,8 +54,8 @@
         token::{
             HostInstance,
             Ticket,
-            TicketId, //
-            TicketOwner,
+            TicketId,
+            TicketOwner, //
         }, //
     },
     types::{
--- a/tests/ticket_table.rs
+++ b/tests/ticket_table.rs
@@ -46,8 +46,8 @@
         token::{
             HostInstance,
             Ticket,
-            TicketId, //
-            TicketOwner,
+            TicketId,
+            TicketOwner, //
         }, //
     },
     types::{
--- a/tests/ticket_token.rs
+++ b/tests/ticket_token.rs
@@ -28,8 +28,8 @@
             TicketError,
             TicketId,
             TicketOwner,
-            TicketSigner, //
-            VerifyContext,
+            TicketSigner,
+            VerifyContext, //
         }, //
     },
     types::{
